--- a/src/gn_links.c
+++ b/src/gn_links.c
@@ -72,7 +72,7 @@
     UpstreamRows rows = {list, residents};
     for (guint i = 0; i < changed->len; i++) {
         const DepUpstream *u = changed->pdata[i];
-        const GPtrArray *placed = ut_get_placed(g->upstreams, u->id);
+        const GPtrArray *placed = ut_get_placement(g->upstreams, u->id);
         add_upstream(&rows, u, placed ? placed : u->models);
     }
     if (rows.rows->len + gone->len > 0) {
@@ -524,7 +524,7 @@
 take_away(Gateway *g, const Gwp__Away *a)
 {
     for (size_t i = 0; i < a->n_upstreams; i++) {
-        ut_on_away(g->upstreams, bg_boot_ms(), a->upstreams[i]);
+        ut_on_unreachable(g->upstreams, bg_boot_ms(), a->upstreams[i]);
     }
 }
 
--- a/src/gn_place.c
+++ b/src/gn_place.c
@@ -164,7 +164,7 @@
     JlLine *l = jl_begin("upstream-away");
     jl_text(l, "upstream", upstream);
     jl_end(l);
-    ut_on_away(g->upstreams, bg_boot_ms(), upstream);
+    ut_on_unreachable(g->upstreams, bg_boot_ms(), upstream);
     g_ptr_array_add(g->away, g_strdup(upstream));
     gn_place_soon(g);
 }
--- a/src/gn_placed.c
+++ b/src/gn_placed.c
@@ -173,14 +173,14 @@
 void
 gn_place(Gateway *g, const char *upstream, GPtrArray *models)
 {
-    const GPtrArray *before = ut_get_placed(g->upstreams, upstream);
+    const GPtrArray *before = ut_get_placement(g->upstreams, upstream);
     g_autoptr(GHashTable) names = create_names();
     if (before) {
         add_changed(before, models, names);
         add_changed(models, before, names);
     }
     bool same = before && g_hash_table_size(names) == 0 &&
-                !ut_is_told_away(g->upstreams, upstream);
+                !ut_is_reported_unreachable(g->upstreams, upstream);
     if (!same && lk_count_peers(g->links) > 0) {
         send_placement(g, TO_URGENT, NULL, upstream, models, names);
         note_untold(g, upstream, names);
@@ -197,7 +197,7 @@
     gpointer names;
     g_hash_table_iter_init(&it, g->untold);
     while (g_hash_table_iter_next(&it, &upstream, &names)) {
-        const GPtrArray *models = ut_get_placed(g->upstreams, upstream);
+        const GPtrArray *models = ut_get_placement(g->upstreams, upstream);
         if (models) {
             send_placement(g, TO_ALL, NULL, upstream, models, names);
         }
@@ -208,7 +208,7 @@
 void
 gn_repeat_placement(Gateway *g, LkPeer *to, const char *upstream)
 {
-    const GPtrArray *models = ut_get_placed(g->upstreams, upstream);
+    const GPtrArray *models = ut_get_placement(g->upstreams, upstream);
     if (models) {
         g_autoptr(GHashTable) all = create_names();
         send_placement(g, TO_ONE, to, upstream, models, all);
@@ -268,7 +268,7 @@
         return; /* its entry comes with all that it holds */
     }
     const GPtrArray *before =
-        p->whole ? NULL : ut_get_placed(g->upstreams, p->upstream);
+        p->whole ? NULL : ut_get_placement(g->upstreams, p->upstream);
     GPtrArray *models = apply_changes(before, p);
     if (digest_models(models) != p->digest) {
         g_ptr_array_free(models, TRUE);
--- a/src/gn_relay.c
+++ b/src/gn_relay.c
@@ -207,7 +207,7 @@
     ht_drop_kept(g->pool, gn_get_text(g, "store"));
     st_restart(g->config_watch, now_ms, 0);
     st_restart(g->upstream_watch, now_ms, 0);
-    ut_outdate_placement(g->upstreams);
+    ut_mark_placement_stale(g->upstreams);
     if (g->uplink.relay) {
         leave_relay(g);
     }
--- a/src/gw.c
+++ b/src/gw.c
@@ -286,7 +286,7 @@
 
 /* The call is over; its upstream is judged by END. */
 static void
-release(Req *q, UtEnd end)
+release(Req *q, UtOutcome end)
 {
     if (!q->ut) {
         return;
@@ -301,7 +301,7 @@
 }
 
 static void
-drop_call(Req *q, UtEnd end)
+drop_call(Req *q, UtOutcome end)
 {
     if (q->hc) {
         ht_cancel_call(q->hc);
@@ -342,7 +342,7 @@
     if (status == 503) {
         give_back(q);
     }
-    drop_call(q, UT_END_NEUTRAL);
+    drop_call(q, UT_OUTCOME_NEUTRAL);
     HtExchange *x = q->x;
     if (q->streaming) {
         /* Its head is out: only an end that is visibly not whole is left. */
@@ -378,7 +378,7 @@
         g_autoptr(GByteArray) body = g_steal_pointer(&q->kept_body);
         uint16_t status = q->kept_status;
         log_end(q, "passed-on", status, why);
-        drop_call(q, UT_END_NEUTRAL);
+        drop_call(q, UT_OUTCOME_NEUTRAL);
         free_req(q);
         send_whole(x, status, head, body);
         return;
@@ -591,7 +591,7 @@
 refuse_busy(Req *q, uint64_t now_ms, const Ut *least_busy)
 {
     uint32_t over_ms =
-        ut_get_wait_ms(least_busy, now_ms) - q->query.most_wait_ms;
+        ut_get_wait_ms(least_busy, now_ms) - q->query.max_wait_ms;
     uint32_t spread = (uint32_t)bg_pick_random(&q->gw->rng, RETRY_LATER_MS);
     if (q->query.model) {
         add_count(q->gw->refused, q->query.model);
@@ -635,8 +635,8 @@
         return;
     }
     Ut *ut = NULL;
-    q->query.most_wait_ms = get_most_wait_ms(q, now_ms);
-    UtAnswer found = ut_choose(q->gw->upstreams, now_ms, &q->query, &ut);
+    q->query.max_wait_ms = get_most_wait_ms(q, now_ms);
+    UtChoice found = ut_choose(q->gw->upstreams, now_ms, &q->query, &ut);
     if (!ut && may_be_unknown(q, now_ms)) {
         wait_for_list(q, now_ms);
         return;
@@ -665,7 +665,7 @@
     case UT_FULL:
         wait_for(q, now_ms, "slot");
         return;
-    case UT_AWAY:
+    case UT_UNREACHABLE:
         /* The placing VM may have the model loaded elsewhere. */
         q->lacks_model = true;
         if (q->query.model) {
@@ -824,7 +824,7 @@
     start_stream(q);
     ht_write_answer(q->x, q->partial->str, q->partial->len);
     log_end(q, "answered", q->status, NULL);
-    release(q, UT_END_GOOD);
+    release(q, UT_OUTCOME_GOOD);
     HtExchange *x = q->x;
     free_req(q);
     ht_end_answer(x);
@@ -835,7 +835,7 @@
 {
     HtExchange *x = q->x;
     log_end(q, "answered", q->status, NULL);
-    release(q, q->status >= 500 ? UT_END_FAILED : UT_END_GOOD);
+    release(q, q->status >= 500 ? UT_OUTCOME_FAILED : UT_OUTCOME_GOOD);
     uint16_t status = q->status;
     g_autoptr(GString) head =
         g_string_new_len(q->head->str, (gssize)q->head->len);
@@ -881,17 +881,17 @@
         /* It lacks the model, or an order on it is under way. */
         ut_note_absent(q->gw->upstreams, ut, now_ms, q->query.model,
                        q->query.adapter);
-        release(q, UT_END_NEUTRAL);
+        release(q, UT_OUTCOME_NEUTRAL);
     }
     else {
         g_ptr_array_add(q->tried, ut);
-        release(q, other ? UT_END_NEUTRAL : UT_END_SHED);
+        release(q, other ? UT_OUTCOME_NEUTRAL : UT_OUTCOME_SHED);
     }
     try_send(q);
 }
 
 static void
-handle_failure(Req *q, UtEnd end, const char *why)
+handle_failure(Req *q, UtOutcome end, const char *why)
 {
     uint64_t now_ms = bg_boot_ms();
     Ut *ut = q->ut;
@@ -935,7 +935,7 @@
     q->head = g_string_new(NULL);
     q->body = g_byte_array_new();
     g_ptr_array_add(q->tried, q->ut);
-    release(q, UT_END_FAILED);
+    release(q, UT_OUTCOME_FAILED);
     try_send(q);
 }
 
@@ -948,10 +948,10 @@
     q->hc = NULL;
     if (end == HT_NOT_SENT) {
         g_ptr_array_add(q->tried, q->ut);
-        if (!ut_is_away(q->ut)) {
+        if (!ut_is_unreachable(q->ut)) {
             q->gw->out.unreached(q->gw->out.ctx, ut_get_id(q->ut));
         }
-        release(q, UT_END_DEAD);
+        release(q, UT_OUTCOME_UNREACHABLE);
         q->paid = q->sends > 0; /* the repeat did not reach the service */
         try_send(q);
         return;
@@ -965,7 +965,7 @@
     }
     else if (end == HT_DONE && q->streaming) {
         /* A resumption that was answered with something else. */
-        handle_failure(q, UT_END_FAILED, "resumption refused");
+        handle_failure(q, UT_OUTCOME_FAILED, "resumption refused");
     }
     else if (end == HT_DONE && q->status >= 500) {
         handle_error_status(q);
@@ -976,7 +976,7 @@
     }
     else {
         q->gw->out.died(q->gw->out.ctx, q->digest, ut_get_id(q->ut));
-        handle_failure(q, UT_END_FAILED,
+        handle_failure(q, UT_OUTCOME_FAILED,
                        end == HT_GARBLED ? "garbled" : "broken off");
     }
 }
@@ -1287,7 +1287,7 @@
     if (q->state == REQ_WAITING && q->runs == 0) {
         give_back(q);
     }
-    drop_call(q, UT_END_NEUTRAL);
+    drop_call(q, UT_OUTCOME_NEUTRAL);
     free_req(q);
 }
 
@@ -1298,7 +1298,7 @@
 {
     Ut *other = NULL;
     g_ptr_array_add(q->tried, q->ut);
-    UtAnswer a = ut_choose(q->gw->upstreams, now_ms, &q->query, &other);
+    UtChoice a = ut_choose(q->gw->upstreams, now_ms, &q->query, &other);
     g_ptr_array_set_size(q->tried, (gint)q->tried->len - 1);
     if (a != UT_FOUND) {
         return false;
@@ -1341,7 +1341,7 @@
         if (q->state == REQ_SENT) {
             bool sent = q->hc && ht_was_sent(q->hc);
             q->runs += sent;
-            drop_call(q, sent ? UT_END_FAILED : UT_END_DEAD);
+            drop_call(q, sent ? UT_OUTCOME_FAILED : UT_OUTCOME_UNREACHABLE);
         }
         give_up(q, RETRY_SOON_MS, "deadline");
     }
@@ -1354,7 +1354,7 @@
         ht_cancel_call(q->hc);
         q->hc = NULL;
         ht_drop_kept(q->gw->pool, ut_get_address(q->ut));
-        handle_failure(q, UT_END_SILENT, "silent");
+        handle_failure(q, UT_OUTCOME_SILENT, "silent");
     }
 }
 
@@ -1641,7 +1641,7 @@
     Req *q;
     while ((q = g_queue_peek_head(&g->reqs))) {
         ht_set_user(q->x, NULL);
-        drop_call(q, UT_END_NEUTRAL);
+        drop_call(q, UT_OUTCOME_NEUTRAL);
         free_req(q);
     }
     g_queue_clear(&g->early);
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -295,7 +295,7 @@
             mp_begin(g->placement, now_ms);
         }
         else {
-            ut_outdate_placement(g->upstreams);
+            ut_mark_placement_stale(g->upstreams);
         }
         g_hash_table_remove_all(g->told);
         gn_on_lease_changed(g);
--- a/src/ut.c
+++ b/src/ut.c
@@ -8,26 +8,26 @@
 #define REPORT_FADE_MS 1000
 /* What an upstream says it lacks is believed for so long; a load that was
    thought done may take a little longer. */
-#define ABSENT_MS 80
-#define LONGEST_ABSENT_MS                                                     \
-    1000                /* three times as long each time, up to this          \
-                         */
-#define SHED_REST_MS 60 /* a full upstream frees slots all the time */
+#define MIN_ABSENT_MS 80
+#define MAX_ABSENT_MS                                                         \
+    1000                   /* three times as long each time, up to this       \
+                            */
+#define SHED_BACKOFF_MS 60 /* a full upstream frees slots all the time */
 /* Rest after it could not be reached; doubled each time, up to the longest. */
-#define FIRST_REST_MS 250
-#define LONGEST_REST_MS 3000
+#define MIN_BACKOFF_MS 250
+#define MAX_BACKOFF_MS 3000
 /* One that refused its last connection is asked by one call at a time, this
    long after that, also where no other holds the model: a crashed process
    refuses at once, and what waits for it would connect without pause. */
-#define PROBE_PAUSE_MS 100
+#define MIN_PROBE_INTERVAL_MS 100
 /* Doubled each time it turns a call away, up to this. */
-#define LONGEST_PROBE_PAUSE_MS 1600
+#define MAX_PROBE_INTERVAL_MS 1600
 /* Weight of a new sample in the averages of failures and first bytes: about
    the last five answers decide. */
 #define SAMPLE_WEIGHT 0.2
 /* An upstream that was found slow or failing is tried again: what is held
    against it halves in this time. */
-#define FORGIVE_MS 2500.
+#define PENALTY_HALF_LIFE_MS 2500.
 /* How much a failing upstream is shunned: one that fails half of its
    requests looks as loaded as one with 8 times the load. */
 #define FAILURE_COST 15.
@@ -39,14 +39,14 @@
 #define TOKENS_PER_MS 30.
 /* Leading parts that take less to read are not worth a crowd at the upstream
    that keeps them. */
-#define LEAST_SHARED_MS 25
+#define MIN_SHARED_MS 25
 /* Another data centre's upstream costs a round trip and paid bytes: it is
    taken when it has this much less load. */
 #define REMOTE_COST 1.15
-#define DRAWS 4
+#define CANDIDATES_SAMPLED 4
 /* The longest queue that is accepted, in percent of what the request allows,
    is spread from this to 100 more. */
-#define WAIT_SPREAD 50
+#define MIN_WAIT_PERCENT 50
 /* One that began an answer here in this time is busy, not dead. */
 #define ALIVE_MS 700
 
@@ -60,27 +60,29 @@
     UtSet *set;
     DepUpstream *entry;
     GPtrArray *placed; /* DepResident, by the placing VM; NULL: by entry */
-    bool outdated;     /* what it placed: the next entry goes before */
+    bool stale;        /* what it placed: the next entry goes before */
     bool gone;         /* no longer listed; kept while calls are out */
     bool leaving;
     uint32_t running;  /* our calls */
     uint32_t reported; /* running and waiting, less ours at that time */
     uint64_t reported_ms;
-    uint32_t told;         /* running for other gateways, by the placing VM */
-    uint32_t told_wait_ms; /* behind those that wait there */
-    uint32_t total;        /* running for all, as told */
-    bool stalled;          /* as told */
-    uint64_t heard_ms;     /* it began an answer; 0: never */
-    uint32_t failures;     /* unreachable in a row */
-    uint64_t away_ms; /* could not be reached then, nor since; 0: it can */
-    bool probed;      /* a call is out to see whether it is still away */
-    uint32_t probe_pause_ms;
-    uint64_t told_away_ms; /* by the placing VM, and not heard since; 0: no */
-    uint64_t rest_until_ms;
+    uint32_t told;          /* running for other gateways, by the placing VM */
+    uint32_t fleet_wait_ms; /* behind those that wait there */
+    uint32_t total;         /* running for all, as told */
+    bool stalled;           /* as told */
+    uint64_t last_answer_ms; /* it began an answer; 0: never */
+    uint32_t failures;       /* unreachable in a row */
+    uint64_t
+        unreachable_ms; /* could not be reached then, nor since; 0: it can */
+    bool probing;       /* a call is out to see whether it is still away */
+    uint32_t probe_interval_ms;
+    uint64_t reported_unreachable_ms; /* by the placing VM, and not heard
+                                         since; 0: no */
+    uint64_t backoff_until_ms;
     uint64_t shed_until_ms;
     double fail_rate; /* 0 to 1 */
     double slowness;  /* first byte against the usual; 1: as usual */
-    uint64_t judged_ms;
+    uint64_t penalty_ms;
     GArray *absences; /* Absence */
 };
 
@@ -90,7 +92,7 @@
     GHashTable *by_id;  /* id -> Ut */
     GHashTable *by_key; /* ut_make_key of its id -> Ut */
     uint64_t totals_ms; /* when the totals of all were last told to hold */
-    GPtrArray *ghosts;  /* Ut: gone, with calls out */
+    GPtrArray *removed; /* Ut: gone, with calls out */
     double plain_ms;    /* usual first byte of a service without models */
 };
 
@@ -120,7 +122,7 @@
     bg_seed_random(&s->rng, params->seed);
     s->by_id = g_hash_table_new(g_str_hash, g_str_equal);
     s->by_key = g_hash_table_new(g_direct_hash, g_direct_equal);
-    s->ghosts = g_ptr_array_new();
+    s->removed = g_ptr_array_new();
     return s;
 }
 
@@ -135,10 +137,10 @@
     }
     g_hash_table_destroy(s->by_id);
     g_hash_table_destroy(s->by_key);
-    for (guint i = 0; i < s->ghosts->len; i++) {
-        free_ut(s->ghosts->pdata[i]);
+    for (guint i = 0; i < s->removed->len; i++) {
+        free_ut(s->removed->pdata[i]);
     }
-    g_ptr_array_free(s->ghosts, TRUE);
+    g_ptr_array_free(s->removed, TRUE);
     g_free(s->data_centre);
     g_free(s);
 }
@@ -158,14 +160,14 @@
         free_ut(u);
     }
     else {
-        g_ptr_array_add(s->ghosts, u);
+        g_ptr_array_add(s->removed, u);
     }
 }
 
 /* Another life, or another place under the same id: nothing that was learnt
    of the former holds. */
 static bool
-is_same_life(const DepUpstream *a, const DepUpstream *b)
+is_same_instance(const DepUpstream *a, const DepUpstream *b)
 {
     return a->born_ms == b->born_ms && strcmp(a->address, b->address) == 0 &&
            strcmp(a->service, b->service) == 0;
@@ -175,7 +177,7 @@
 ut_on_entry(UtSet *s, uint64_t now_ms, DepUpstream *entry)
 {
     Ut *u = g_hash_table_lookup(s->by_id, entry->id);
-    if (u && !is_same_life(u->entry, entry)) {
+    if (u && !is_same_instance(u->entry, entry)) {
         drop(s, u);
         u = NULL;
     }
@@ -183,11 +185,11 @@
     if (u) {
         g_hash_table_steal(s->by_id, u->entry->id);
         dep_destroy_upstream(u->entry);
-        if (u->outdated && u->placed) {
+        if (u->stale && u->placed) {
             g_ptr_array_free(u->placed, TRUE);
             u->placed = NULL;
         }
-        u->outdated = false;
+        u->stale = false;
     }
     else {
         u = g_new0(Ut, 1);
@@ -197,7 +199,7 @@
         u->absences = g_array_new(FALSE, FALSE, sizeof(Absence));
         g_array_set_clear_func(u->absences, clear_absence);
         u->slowness = 1;
-        u->judged_ms = now_ms;
+        u->penalty_ms = now_ms;
     }
     u->entry = entry;
     bool leaves = entry->draining && !u->leaving;
@@ -240,42 +242,42 @@
         g_ptr_array_free(u->placed, TRUE);
     }
     u->placed = models;
-    u->outdated = false;
-    u->away_ms = 0;
-    u->told_away_ms = 0;
+    u->stale = false;
+    u->unreachable_ms = 0;
+    u->reported_unreachable_ms = 0;
 }
 
 bool
-ut_is_told_away(const UtSet *s, const char *id)
+ut_is_reported_unreachable(const UtSet *s, const char *id)
 {
     const Ut *u = g_hash_table_lookup(s->by_id, id);
-    return u && u->told_away_ms != 0;
+    return u && u->reported_unreachable_ms != 0;
 }
 
 const GPtrArray *
-ut_get_placed(const UtSet *s, const char *id)
+ut_get_placement(const UtSet *s, const char *id)
 {
     const Ut *u = g_hash_table_lookup(s->by_id, id);
-    return u && !u->outdated ? u->placed : NULL;
+    return u && !u->stale ? u->placed : NULL;
 }
 
 void
-ut_on_away(UtSet *s, uint64_t now_ms, const char *id)
+ut_on_unreachable(UtSet *s, uint64_t now_ms, const char *id)
 {
     Ut *u = g_hash_table_lookup(s->by_id, id);
     if (u) {
-        u->told_away_ms = now_ms;
+        u->reported_unreachable_ms = now_ms;
     }
 }
 
 void
-ut_outdate_placement(UtSet *s)
+ut_mark_placement_stale(UtSet *s)
 {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, s->by_id);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        ((Ut *)v)->outdated = true;
+        ((Ut *)v)->stale = true;
     }
 }
 
@@ -356,9 +358,10 @@
 
 /* What is held against it, eased with time. */
 static double
-get_handicap(const Ut *u, uint64_t now_ms)
+get_penalty(const Ut *u, uint64_t now_ms)
 {
-    double ease = exp2(-(double)(now_ms - u->judged_ms) / FORGIVE_MS);
+    double ease =
+        exp2(-(double)(now_ms - u->penalty_ms) / PENALTY_HALF_LIFE_MS);
     double slow = 1 + (u->slowness - 1) * ease;
     return slow * (1 + FAILURE_COST * u->fail_rate * ease);
 }
@@ -366,7 +369,7 @@
 static double
 compute_cost(const UtSet *s, const Ut *u, uint64_t now_ms, const UtQuery *q)
 {
-    double cost = (ut_get_load(u, now_ms) + 1) * get_handicap(u, now_ms);
+    double cost = (ut_get_load(u, now_ms) + 1) * get_penalty(u, now_ms);
     if (strcmp(u->entry->data_centre, s->data_centre) != 0) {
         /* A plain call is short: the way there is much of its time. */
         cost *= q->model ? REMOTE_COST : REMOTE_COST * 1.3;
@@ -392,7 +395,7 @@
 } Candidate;
 
 static bool
-hears_placer(const UtSet *s, uint64_t now_ms)
+hears_leader(const UtSet *s, uint64_t now_ms)
 {
     return now_ms < s->totals_ms + REPORT_FADE_MS;
 }
@@ -400,30 +403,31 @@
 /* The placing VM tries it as well, and tells when it is back: with hundreds of
    gateways these tries of each are too many. */
 static bool
-is_told_away(const Ut *u, uint64_t now_ms)
+is_reported_unreachable(const Ut *u, uint64_t now_ms)
 {
-    return u->told_away_ms && hears_placer(u->set, now_ms);
+    return u->reported_unreachable_ms && hears_leader(u->set, now_ms);
 }
 
 /* Could not be reached, and it is not yet time for a single try. */
 static bool
-is_left_alone(const Ut *u, uint64_t now_ms)
+awaits_probe(const Ut *u, uint64_t now_ms)
 {
-    if (is_told_away(u, now_ms)) {
-        return u->probed || now_ms < MAX(u->told_away_ms, u->away_ms) +
-                                         LONGEST_PROBE_PAUSE_MS;
+    if (is_reported_unreachable(u, now_ms)) {
+        return u->probing ||
+               now_ms < MAX(u->reported_unreachable_ms, u->unreachable_ms) +
+                            MAX_PROBE_INTERVAL_MS;
     }
-    return u->away_ms &&
-           (u->probed || now_ms < u->away_ms + u->probe_pause_ms);
+    return u->unreachable_ms &&
+           (u->probing || now_ms < u->unreachable_ms + u->probe_interval_ms);
 }
 
 /* One more would come late there.  The threshold differs by request: with one
    for all, hundreds of gateways would hold back and send as one. */
 static bool
-is_crowded(const Ut *u, uint64_t now_ms, const UtQuery *q)
+is_wait_too_long(const Ut *u, uint64_t now_ms, const UtQuery *q)
 {
-    double patience = (WAIT_SPREAD + q->draw) / 100.;
-    return ut_get_wait_ms(u, now_ms) > q->most_wait_ms * patience;
+    double threshold = (MIN_WAIT_PERCENT + q->draw) / 100.;
+    return ut_get_wait_ms(u, now_ms) > q->max_wait_ms * threshold;
 }
 
 static uint64_t
@@ -455,7 +459,7 @@
     for (guint i = 0; i < c->len; i++) {
         sum += g_array_index(c, Candidate, i).cost;
     }
-    if (q->affinity && q->shared_tokens / TOKENS_PER_MS >= LEAST_SHARED_MS) {
+    if (q->affinity && q->shared_tokens / TOKENS_PER_MS >= MIN_SHARED_MS) {
         const Candidate *x = prefer_by_affinity(c, sum / c->len);
         if (x) {
             return x;
@@ -464,7 +468,7 @@
     /* The best of a few drawn at random: gateways that know the same loads,
        a little old, would otherwise all run to one upstream. */
     const Candidate *best = NULL;
-    for (int i = 0; i < DRAWS; i++) {
+    for (int i = 0; i < CANDIDATES_SAMPLED; i++) {
         const Candidate *x =
             &g_array_index(c, Candidate, bg_pick_random(&s->rng, c->len));
         if (!best || x->cost < best->cost) {
@@ -480,11 +484,12 @@
     return a && ut_get_wait_ms(a, now_ms) < ut_get_wait_ms(b, now_ms) ? a : b;
 }
 
-UtAnswer
+UtChoice
 ut_choose(UtSet *s, uint64_t now_ms, const UtQuery *q, Ut **out)
 {
-    g_autoptr(GArray) open = g_array_new(FALSE, FALSE, sizeof(Candidate));
-    g_autoptr(GArray) resting = g_array_new(FALSE, FALSE, sizeof(Candidate));
+    g_autoptr(GArray) available = g_array_new(FALSE, FALSE, sizeof(Candidate));
+    g_autoptr(GArray) backed_off =
+        g_array_new(FALSE, FALSE, sizeof(Candidate));
     bool any = false;
     bool model = false;
     bool all = false;
@@ -515,20 +520,20 @@
         if (now_ms < u->shed_until_ms && u->running > 0) {
             full = true;
         }
-        else if (is_left_alone(u, now_ms)) {
+        else if (awaits_probe(u, now_ms)) {
             away = true;
         }
-        else if (q->most_wait_ms && is_crowded(u, now_ms, q)) {
+        else if (q->max_wait_ms && is_wait_too_long(u, now_ms, q)) {
             least_busy = get_less_busy(least_busy, u, now_ms);
         }
-        else if (now_ms < u->rest_until_ms) {
-            g_array_append_val(resting, c);
+        else if (now_ms < u->backoff_until_ms) {
+            g_array_append_val(backed_off, c);
         }
         else {
-            g_array_append_val(open, c);
+            g_array_append_val(available, c);
         }
     }
-    GArray *from = open->len ? open : resting;
+    GArray *from = available->len ? available : backed_off;
     if (from->len == 0 && least_busy) {
         *out = least_busy;
         return UT_BUSY;
@@ -538,7 +543,7 @@
                : !model ? UT_COLD
                : !all   ? UT_ADAPTER
                : full   ? UT_FULL
-               : away   ? UT_AWAY
+               : away   ? UT_UNREACHABLE
                         : UT_TRIED;
     }
     *out = pick(s, from, q)->ut;
@@ -551,16 +556,16 @@
 ut_start(Ut *u)
 {
     u->running++;
-    u->probed = u->away_ms != 0 || u->told_away_ms != 0;
+    u->probing = u->unreachable_ms != 0 || u->reported_unreachable_ms != 0;
 }
 
 static void
 ease(Ut *u, uint64_t now_ms)
 {
-    double f = exp2(-(double)(now_ms - u->judged_ms) / FORGIVE_MS);
+    double f = exp2(-(double)(now_ms - u->penalty_ms) / PENALTY_HALF_LIFE_MS);
     u->fail_rate *= f;
     u->slowness = 1 + (u->slowness - 1) * f;
-    u->judged_ms = now_ms;
+    u->penalty_ms = now_ms;
 }
 
 static void
@@ -583,57 +588,59 @@
 /* It may be back with nothing loaded, and turn away all that it held: until
    it has answered, or is told of anew, single calls find that out. */
 static void
-note_turned_away(Ut *u, uint64_t now_ms)
+note_inconclusive_probe(Ut *u, uint64_t now_ms)
 {
-    u->probe_pause_ms = MIN(u->probe_pause_ms * 2, LONGEST_PROBE_PAUSE_MS);
-    u->away_ms = now_ms;
+    u->probe_interval_ms =
+        MIN(u->probe_interval_ms * 2, MAX_PROBE_INTERVAL_MS);
+    u->unreachable_ms = now_ms;
 }
 
 void
-ut_finish(UtSet *s, Ut *u, uint64_t now_ms, UtEnd end, uint32_t first_ms,
+ut_finish(UtSet *s, Ut *u, uint64_t now_ms, UtOutcome end, uint32_t first_ms,
           const UtQuery *q)
 {
     u->running--;
-    u->probed = false;
+    u->probing = false;
     ease(u, now_ms);
     switch (end) {
-    case UT_END_GOOD:
-        u->away_ms = 0;
+    case UT_OUTCOME_GOOD:
+        u->unreachable_ms = 0;
         u->failures = 0;
-        u->rest_until_ms = 0;
+        u->backoff_until_ms = 0;
         u->fail_rate *= 1 - SAMPLE_WEIGHT;
         break;
-    case UT_END_FAILED:
-        u->away_ms = 0;
+    case UT_OUTCOME_FAILED:
+        u->unreachable_ms = 0;
         u->fail_rate += SAMPLE_WEIGHT * (1 - u->fail_rate);
         break;
-    case UT_END_DEAD:
-        u->away_ms = now_ms;
-        u->probe_pause_ms = PROBE_PAUSE_MS;
+    case UT_OUTCOME_UNREACHABLE:
+        u->unreachable_ms = now_ms;
+        u->probe_interval_ms = MIN_PROBE_INTERVAL_MS;
         /* fall through */
-    case UT_END_SILENT:
+    case UT_OUTCOME_SILENT:
         u->fail_rate += SAMPLE_WEIGHT * (1 - u->fail_rate);
-        u->rest_until_ms = now_ms + MIN(FIRST_REST_MS << MIN(u->failures, 10),
-                                        LONGEST_REST_MS);
+        u->backoff_until_ms =
+            now_ms +
+            MIN(MIN_BACKOFF_MS << MIN(u->failures, 10), MAX_BACKOFF_MS);
         u->failures++;
         break;
-    case UT_END_SHED:
-        u->away_ms = 0;
-        u->shed_until_ms = now_ms + SHED_REST_MS;
+    case UT_OUTCOME_SHED:
+        u->unreachable_ms = 0;
+        u->shed_until_ms = now_ms + SHED_BACKOFF_MS;
         break;
-    case UT_END_NEUTRAL:
-        if (u->away_ms) {
-            note_turned_away(u, now_ms);
+    case UT_OUTCOME_NEUTRAL:
+        if (u->unreachable_ms) {
+            note_inconclusive_probe(u, now_ms);
         }
         break;
     }
     if (first_ms) {
-        u->heard_ms = now_ms;
-        u->told_away_ms = 0;
+        u->last_answer_ms = now_ms;
+        u->reported_unreachable_ms = 0;
         note_first_byte(s, u, first_ms, q);
     }
     if (u->gone && u->running == 0) {
-        g_ptr_array_remove_fast(s->ghosts, u);
+        g_ptr_array_remove_fast(s->removed, u);
         free_ut(u);
     }
 }
@@ -648,10 +655,10 @@
     for (guint i = 0; i < u->absences->len;) {
         Absence *a = &g_array_index(u->absences, Absence, i);
         bool same = strcmp(a->what, what) == 0;
-        if (same && now_ms < a->until_ms + LONGEST_ABSENT_MS) {
+        if (same && now_ms < a->until_ms + MAX_ABSENT_MS) {
             last_ms = a->last_ms;
         }
-        if (same || a->until_ms + LONGEST_ABSENT_MS <= now_ms) {
+        if (same || a->until_ms + MAX_ABSENT_MS <= now_ms) {
             g_array_remove_index_fast(u->absences, i);
         }
         else {
@@ -659,7 +666,7 @@
         }
     }
     Absence a = {.what = g_steal_pointer(&what)};
-    a.last_ms = last_ms ? MIN(last_ms * 3, LONGEST_ABSENT_MS) : ABSENT_MS;
+    a.last_ms = last_ms ? MIN(last_ms * 3, MAX_ABSENT_MS) : MIN_ABSENT_MS;
     a.until_ms = now_ms + a.last_ms;
     g_array_append_val(u->absences, a);
 }
@@ -677,7 +684,7 @@
 {
     u->total = t->running;
     u->told = t->running > u->running ? t->running - u->running : 0;
-    u->told_wait_ms = t->wait_ms;
+    u->fleet_wait_ms = t->wait_ms;
     u->stalled = t->stalled;
 }
 
@@ -711,7 +718,7 @@
     g_hash_table_iter_init(&it, s->by_id);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const Ut *u = v;
-        UtTotal t = {ut_make_key(u->entry->id), u->total, u->told_wait_ms,
+        UtTotal t = {ut_make_key(u->entry->id), u->total, u->fleet_wait_ms,
                      u->stalled};
         if (t.running > 0) {
             visit(ctx, &t);
@@ -743,7 +750,7 @@
 uint32_t
 ut_get_wait_ms(const Ut *u, uint64_t now_ms)
 {
-    return hears_placer(u->set, now_ms) ? u->told_wait_ms : 0;
+    return hears_leader(u->set, now_ms) ? u->fleet_wait_ms : 0;
 }
 
 /* Reading the prompt and the first step; a queue or other requests make it
@@ -779,20 +786,20 @@
 }
 
 bool
-ut_is_away(const Ut *u)
+ut_is_unreachable(const Ut *u)
 {
-    return u->away_ms != 0;
+    return u->unreachable_ms != 0;
 }
 
 bool
 ut_is_alive(const Ut *u, uint64_t now_ms)
 {
-    if (now_ms < u->heard_ms + ALIVE_MS) {
+    if (now_ms < u->last_answer_ms + ALIVE_MS) {
         return true;
     }
     /* What others hear counts only where they have requests. */
-    return u->told > 0 && hears_placer(u->set, now_ms) && !u->stalled &&
-           !u->told_away_ms;
+    return u->told > 0 && hears_leader(u->set, now_ms) && !u->stalled &&
+           !u->reported_unreachable_ms;
 }
 
 uint32_t
--- a/src/ut.h
+++ b/src/ut.h
@@ -26,19 +26,19 @@
 /* Only IDS (a set of char *) are left. */
 void ut_keep_only(UtSet *s, uint64_t now_ms, GHashTable *ids);
 /* What the placing VM says that UPSTREAM holds: DepResident list, taken
-   over.  It goes before the entry, until ut_outdate_placement. */
+   over.  It goes before the entry, until ut_mark_placement_stale. */
 void ut_on_placement(UtSet *s, uint64_t now_ms, const char *id,
                      GPtrArray *models);
 /* As told, and not placed since. */
-bool ut_is_told_away(const UtSet *s, const char *id);
+bool ut_is_reported_unreachable(const UtSet *s, const char *id);
 /* That list; NULL: none was told, or it may be over. */
-const GPtrArray *ut_get_placed(const UtSet *s, const char *id);
+const GPtrArray *ut_get_placement(const UtSet *s, const char *id);
 /* The placing VM could not reach it: it is left alone, but for a single try
    now and then, until it is placed anew or answers here. */
-void ut_on_away(UtSet *s, uint64_t now_ms, const char *id);
+void ut_on_unreachable(UtSet *s, uint64_t now_ms, const char *id);
 /* The placing VM is not heard any more: what it told counts only until an
    upstream's next entry, which is read from now on and is newer. */
-void ut_outdate_placement(UtSet *s);
+void ut_mark_placement_stale(UtSet *s);
 
 /* Who could serve. */
 typedef struct {
@@ -48,42 +48,42 @@
     uint64_t affinity;      /* digest of the shared leading parts; 0: none */
     uint32_t shared_tokens; /* of these parts */
     uint32_t prompt_tokens;
-    uint32_t most_wait_ms; /* where about as much wait is told nothing is sent;
+    uint32_t max_wait_ms; /* where about as much wait is told nothing is sent;
                               0: any */
-    uint32_t draw;         /* of this request, by chance: 0 to 99 */
+    uint32_t draw;        /* of this request, by chance: 0 to 99 */
     const GPtrArray *tried; /* Ut * that are not to be used again, or NULL */
 } UtQuery;
 
 typedef enum {
     UT_FOUND,
-    UT_NONE,    /* the service has no upstream at all */
-    UT_COLD,    /* nobody holds the model */
-    UT_ADAPTER, /* the model is held, the adapter is not */
-    UT_TRIED,   /* all that could serve were tried */
-    UT_FULL,    /* all that could serve have as much as they take */
-    UT_AWAY,    /* none that could serve can be reached just now */
-    UT_BUSY     /* all that could serve have more than they serve in time */
-} UtAnswer;
+    UT_NONE,        /* the service has no upstream at all */
+    UT_COLD,        /* nobody holds the model */
+    UT_ADAPTER,     /* the model is held, the adapter is not */
+    UT_TRIED,       /* all that could serve were tried */
+    UT_FULL,        /* all that could serve have as much as they take */
+    UT_UNREACHABLE, /* none that could serve can be reached just now */
+    UT_BUSY /* all that could serve have more than they serve in time */
+} UtChoice;
 
 /* The upstream to send to now, in *OUT if UT_FOUND; if UT_BUSY, the one with
    the least wait. */
-UtAnswer ut_choose(UtSet *s, uint64_t now_ms, const UtQuery *q, Ut **out);
+UtChoice ut_choose(UtSet *s, uint64_t now_ms, const UtQuery *q, Ut **out);
 
 /* A call to U starts; U stays valid until ut_finish. */
 void ut_start(Ut *u);
 
 typedef enum {
-    UT_END_GOOD,   /* it answered */
-    UT_END_FAILED, /* it failed the request, or broke off */
-    UT_END_DEAD,   /* it can't be reached */
-    UT_END_SILENT, /* it did not answer in time */
-    UT_END_SHED,   /* it said that it ran nothing: it is full */
-    UT_END_NEUTRAL /* tells nothing of it */
-} UtEnd;
+    UT_OUTCOME_GOOD,        /* it answered */
+    UT_OUTCOME_FAILED,      /* it failed the request, or broke off */
+    UT_OUTCOME_UNREACHABLE, /* it can't be reached */
+    UT_OUTCOME_SILENT,      /* it did not answer in time */
+    UT_OUTCOME_SHED,        /* it said that it ran nothing: it is full */
+    UT_OUTCOME_NEUTRAL      /* tells nothing of it */
+} UtOutcome;
 
 /* FIRST_MS: to its first byte; 0: not known. */
-void ut_finish(UtSet *s, Ut *u, uint64_t now_ms, UtEnd end, uint32_t first_ms,
-               const UtQuery *q);
+void ut_finish(UtSet *s, Ut *u, uint64_t now_ms, UtOutcome end,
+               uint32_t first_ms, const UtQuery *q);
 /* It said that it does not hold this (for now). */
 void ut_note_absent(UtSet *s, Ut *u, uint64_t now_ms, const char *model,
                     const char *adapter);
@@ -122,7 +122,7 @@
 const char *ut_get_address(const Ut *u);
 bool ut_is_gone(const Ut *u);
 /* It could not be reached by the last call that ended there. */
-bool ut_is_away(const Ut *u);
+bool ut_is_unreachable(const Ut *u);
 uint32_t ut_get_running(const Ut *u);
 /* Ours and what is known of others'. */
 double ut_get_load(const Ut *u, uint64_t now_ms);
--- a/tests/unit_gateway.c
+++ b/tests/unit_gateway.c
@@ -572,8 +572,8 @@
         ut_start(u);
         bool bad = strcmp(ut_get_id(u), "u1") == 0;
         failed += bad;
-        ut_finish(s, u, now_ms + 10, bad ? UT_END_FAILED : UT_END_GOOD, 10,
-                  &q);
+        ut_finish(s, u, now_ms + 10, bad ? UT_OUTCOME_FAILED : UT_OUTCOME_GOOD,
+                  10, &q);
     }
     CU_ASSERT(failed < 25); /* of 200; a quarter would be 50 */
     ut_destroy(s);
@@ -593,7 +593,8 @@
         ut_start(u);
         bool bad = strcmp(ut_get_id(u), "u1") == 0;
         dead += bad;
-        ut_finish(s, u, now_ms, bad ? UT_END_DEAD : UT_END_GOOD, 0, &q);
+        ut_finish(s, u, now_ms, bad ? UT_OUTCOME_UNREACHABLE : UT_OUTCOME_GOOD,
+                  0, &q);
     }
     CU_ASSERT(dead >= 1 && dead < 20);
     ut_on_gone(s, 10000, "u0");
@@ -614,11 +615,11 @@
     int tries = 0;
     for (uint64_t now_ms = 0; now_ms < 3000; now_ms += 4) {
         Ut *u = NULL;
-        UtAnswer a = ut_choose(s, now_ms, &q, &u);
-        CU_ASSERT(a == UT_FOUND || a == UT_AWAY);
+        UtChoice a = ut_choose(s, now_ms, &q, &u);
+        CU_ASSERT(a == UT_FOUND || a == UT_UNREACHABLE);
         if (a == UT_FOUND) {
             ut_start(u);
-            ut_finish(s, u, now_ms, UT_END_DEAD, 0, &q);
+            ut_finish(s, u, now_ms, UT_OUTCOME_UNREACHABLE, 0, &q);
             tries++;
         }
     }
@@ -627,8 +628,8 @@
     CU_ASSERT_EQUAL(ut_choose(s, 3200, &q, &u), UT_FOUND);
     ut_start(u);
     Ut *second = NULL;
-    CU_ASSERT_EQUAL(ut_choose(s, 3200, &q, &second), UT_AWAY);
-    ut_finish(s, u, 3210, UT_END_GOOD, 10, &q);
+    CU_ASSERT_EQUAL(ut_choose(s, 3200, &q, &second), UT_UNREACHABLE);
+    ut_finish(s, u, 3210, UT_OUTCOME_GOOD, 10, &q);
     CU_ASSERT_EQUAL(ut_choose(s, 3210, &q, &second), UT_FOUND);
     ut_destroy(s);
 }
@@ -641,26 +642,26 @@
     UtSet *s = make_set(2, "m0");
     UtQuery q = {.service = "s", .model = "m0"};
     Ut *u = NULL;
-    ut_on_away(s, 1000, "u0");
+    ut_on_unreachable(s, 1000, "u0");
     int tries = 0;
     for (uint64_t now_ms = 1000; now_ms < 3000; now_ms += 4) {
         ut_on_totals(s, now_ms, NULL, 0, false);
         CU_ASSERT_EQUAL(ut_choose(s, now_ms, &q, &u), UT_FOUND);
         if (strcmp(ut_get_id(u), "u0") == 0) {
             ut_start(u);
-            ut_finish(s, u, now_ms, UT_END_DEAD, 0, &q);
+            ut_finish(s, u, now_ms, UT_OUTCOME_UNREACHABLE, 0, &q);
             tries++;
         }
     }
     CU_ASSERT(tries <= 1);
-    ut_on_away(s, 3000, "u1");
+    ut_on_unreachable(s, 3000, "u1");
     ut_on_totals(s, 3000, NULL, 0, false);
-    CU_ASSERT_EQUAL(ut_choose(s, 3010, &q, &u), UT_AWAY);
+    CU_ASSERT_EQUAL(ut_choose(s, 3010, &q, &u), UT_UNREACHABLE);
     ut_on_placement(s, 3020, "u1", list_models("m0"));
     CU_ASSERT_EQUAL(ut_choose(s, 3020, &q, &u), UT_FOUND);
     CU_ASSERT_STRING_EQUAL(ut_get_id(u), "u1");
     /* Nobody tells when it is back: it is tried as if nothing was told. */
-    ut_on_away(s, 3030, "u1");
+    ut_on_unreachable(s, 3030, "u1");
     CU_ASSERT_EQUAL(ut_choose(s, 9000, &q, &u), UT_FOUND);
     ut_destroy(s);
 }
@@ -677,13 +678,13 @@
     Ut *u = NULL;
     ut_choose(s, 0, &q, &u);
     ut_start(u);
-    ut_finish(s, u, 0, UT_END_DEAD, 0, &q);
+    ut_finish(s, u, 0, UT_OUTCOME_UNREACHABLE, 0, &q);
     int turned_away = 0;
     for (uint64_t now_ms = 1000; now_ms < 4000; now_ms += 4) {
         if (ut_choose(s, now_ms, &q, &u) == UT_FOUND) {
             ut_start(u);
             ut_note_absent(s, u, now_ms, "m0", NULL);
-            ut_finish(s, u, now_ms, UT_END_NEUTRAL, 0, &q);
+            ut_finish(s, u, now_ms, UT_OUTCOME_NEUTRAL, 0, &q);
             turned_away++;
         }
     }
@@ -729,7 +730,7 @@
     UtQuery q = {.service = "s", .model = "m1"};
     Ut *u = NULL;
     ut_on_placement(s, 100, "u0", list_models("m1"));
-    ut_outdate_placement(s);
+    ut_mark_placement_stale(s);
     CU_ASSERT_EQUAL(ut_choose(s, 200, &q, &u), UT_FOUND);
     ut_on_entry(s, 300, make_upstream("u0", "s", "m0"));
     CU_ASSERT_EQUAL(ut_choose(s, 300, &q, &u), UT_COLD);
@@ -747,24 +748,24 @@
                         {ut_make_key("u1"), 40, 3000, false}};
     ut_on_totals(s, 1000, totals, 2, false);
     UtQuery q = {
-        .service = "s", .model = "m0", .most_wait_ms = 1000, .draw = 50};
+        .service = "s", .model = "m0", .max_wait_ms = 1000, .draw = 50};
     Ut *u = NULL;
     CU_ASSERT_EQUAL(ut_choose(s, 1100, &q, &u), UT_BUSY);
     CU_ASSERT_STRING_EQUAL(ut_get_id(u), "u1");
     CU_ASSERT_EQUAL(ut_get_wait_ms(u, 1100), 3000);
-    q.most_wait_ms = 4000;
+    q.max_wait_ms = 4000;
     CU_ASSERT_EQUAL(ut_choose(s, 1100, &q, &u), UT_FOUND);
     CU_ASSERT_STRING_EQUAL(ut_get_id(u), "u1");
     /* Some hold back sooner, some later, or all would send at one moment. */
     q.draw = 0;
     CU_ASSERT_EQUAL(ut_choose(s, 1100, &q, &u), UT_BUSY);
-    q.most_wait_ms = 2100;
+    q.max_wait_ms = 2100;
     q.draw = 99;
     CU_ASSERT_EQUAL(ut_choose(s, 1100, &q, &u), UT_FOUND);
-    q.most_wait_ms = 0;
+    q.max_wait_ms = 0;
     CU_ASSERT_EQUAL(ut_choose(s, 1100, &q, &u), UT_FOUND);
     /* What was told long ago tells nothing. */
-    q.most_wait_ms = 1000;
+    q.max_wait_ms = 1000;
     CU_ASSERT_EQUAL(ut_choose(s, 2500, &q, &u), UT_FOUND);
     ut_destroy(s);
 }
@@ -800,7 +801,7 @@
         if (ut_choose(s, now_ms, &q, &u) == UT_FOUND) {
             ut_start(u);
             ut_note_absent(s, u, now_ms, "m0", NULL);
-            ut_finish(s, u, now_ms, UT_END_NEUTRAL, 0, &q);
+            ut_finish(s, u, now_ms, UT_OUTCOME_NEUTRAL, 0, &q);
             sends++;
         }
     }
@@ -844,7 +845,7 @@
     CU_ASSERT_TRUE(ut_is_gone(u));
     Ut *other = NULL;
     CU_ASSERT_EQUAL(ut_choose(s, 5, &q, &other), UT_COLD);
-    ut_finish(s, u, 9, UT_END_GOOD, 3, &q);
+    ut_finish(s, u, 9, UT_OUTCOME_GOOD, 3, &q);
     ut_destroy(s);
 }
 
