--- a/src/ut.c
+++ b/src/ut.c
@@ -4,50 +4,50 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Reported load fades: it is as old as the answer that told it. */
+/* A load report loses its weight linearly over this time. */
 #define REPORT_FADE_MS 1000
-/* What an upstream says it lacks is believed for so long; a load that was
-   thought done may take a little longer. */
+/* How long an upstream that reported a model as not loaded is not chosen for
+   it: a load that was taken for complete may need a little longer.  Tripled
+   with each such report in a row, up to the maximum. */
 #define MIN_ABSENT_MS 80
-#define MAX_ABSENT_MS                                                         \
-    1000                   /* three times as long each time, up to this       \
-                            */
+#define MAX_ABSENT_MS 1000
 #define SHED_BACKOFF_MS 60 /* a full upstream frees slots all the time */
-/* Rest after it could not be reached; doubled each time, up to the longest. */
+/* Backoff after a call that failed to connect or timed out; doubled each time,
+   up to the maximum. */
 #define MIN_BACKOFF_MS 250
 #define MAX_BACKOFF_MS 3000
-/* One that refused its last connection is asked by one call at a time, this
-   long after that, also where no other holds the model: a crashed process
-   refuses at once, and what waits for it would connect without pause. */
+/* An unreachable upstream is probed by one call at a time, this long after the
+   last failure, also where no other holds the model: a crashed process refuses
+   connections at once, and queued requests would reconnect without pause. */
 #define MIN_PROBE_INTERVAL_MS 100
-/* Doubled each time it turns a call away, up to this. */
+/* The interval doubles with each inconclusive probe, up to this. */
 #define MAX_PROBE_INTERVAL_MS 1600
 /* Weight of a new sample in the averages of failures and first bytes: about
    the last five answers decide. */
 #define SAMPLE_WEIGHT 0.2
-/* An upstream that was found slow or failing is tried again: what is held
-   against it halves in this time. */
+/* The penalty of a slow or failing upstream halves in this time, so that it is
+   tried again. */
 #define PENALTY_HALF_LIFE_MS 2500.
-/* How much a failing upstream is shunned: one that fails half of its
-   requests looks as loaded as one with 8 times the load. */
+/* One that fails half of its requests costs as much as one with 8.5 times the
+   load. */
 #define FAILURE_COST 15.
-/* The preferred holder of a prompt's leading parts is left when its load
-   passes this share of the mean and so many requests more. */
+/* The preferred upstream for a prompt prefix is passed over when its cost is
+   above AFFINITY_LOAD times the mean plus AFFINITY_SLACK. */
 #define AFFINITY_LOAD 1.5
 #define AFFINITY_SLACK 3.
-/* Engines read prompts about this fast. */
+/* Approximate rate at which engines process prompts (prefill). */
 #define TOKENS_PER_MS 30.
-/* Leading parts that take less to read are not worth a crowd at the upstream
-   that keeps them. */
+/* Prefixes that take less time to process don't justify concentrating load on
+   the upstream that has them cached. */
 #define MIN_SHARED_MS 25
-/* Another data centre's upstream costs a round trip and paid bytes: it is
-   taken when it has this much less load. */
+/* An upstream in another data centre costs a round trip and paid traffic, so
+   its load is weighted by this factor. */
 #define REMOTE_COST 1.15
 #define CANDIDATES_SAMPLED 4
-/* The longest queue that is accepted, in percent of what the request allows,
-   is spread from this to 100 more. */
+/* The longest queue wait accepted, in percent of the request's max_wait_ms,
+   is spread over requests from this to 100 more. */
 #define MIN_WAIT_PERCENT 50
-/* One that began an answer here in this time is busy, not dead. */
+/* An upstream that began an answer here in this time is alive, if busy. */
 #define ALIVE_MS 700
 
 typedef struct {
@@ -59,31 +59,31 @@
 struct Ut {
     UtSet *set;
     DepUpstream *entry;
-    GPtrArray *placed; /* DepResident, by the placing VM; NULL: by entry */
-    bool stale;        /* what it placed: the next entry goes before */
-    bool gone;         /* no longer listed; kept while calls are out */
+    GPtrArray *placed; /* DepResident, by the leader; NULL: see entry */
+    bool stale;        /* the next entry replaces PLACED */
+    bool gone;         /* no longer listed; kept while calls run */
     bool leaving;
-    uint32_t running;  /* our calls */
-    uint32_t reported; /* running and waiting, less ours at that time */
+    uint32_t running; /* calls of this gateway */
+    /* Running and queued for other gateways, by its last answer. */
+    uint32_t reported;
     uint64_t reported_ms;
-    uint32_t told;          /* running for other gateways, by the placing VM */
-    uint32_t fleet_wait_ms; /* behind those that wait there */
-    uint32_t total;         /* running for all, as told */
-    bool stalled;           /* as told */
-    uint64_t last_answer_ms; /* it began an answer; 0: never */
-    uint32_t failures;       /* unreachable in a row */
-    uint64_t
-        unreachable_ms; /* could not be reached then, nor since; 0: it can */
-    bool probing;       /* a call is out to see whether it is still away */
+    /* By the leader's totals (UtTotal). */
+    uint32_t told; /* running for other gateways */
+    uint32_t fleet_wait_ms;
+    uint32_t fleet_running; /* for all gateways */
+    bool stalled;
+    uint64_t last_answer_ms; /* it last began an answer here; 0: never */
+    uint32_t failures;       /* unreachable or silent in a row */
+    uint64_t unreachable_ms; /* last failure to reach it; 0: reachable */
+    bool probing;            /* a probe is running */
     uint32_t probe_interval_ms;
-    uint64_t reported_unreachable_ms; /* by the placing VM, and not heard
-                                         since; 0: no */
+    uint64_t reported_unreachable_ms; /* by the leader; 0: no */
     uint64_t backoff_until_ms;
     uint64_t shed_until_ms;
-    double fail_rate; /* 0 to 1 */
-    double slowness;  /* first byte against the usual; 1: as usual */
-    uint64_t penalty_ms;
-    GArray *absences; /* Absence */
+    double fail_rate;    /* 0 to 1 */
+    double slowness;     /* time to first byte over the expected; 1: normal */
+    uint64_t penalty_ms; /* time up to which these two have decayed */
+    GArray *absences;    /* Absence */
 };
 
 struct UtSet {
@@ -91,9 +91,9 @@
     BgRandom rng;
     GHashTable *by_id;  /* id -> Ut */
     GHashTable *by_key; /* ut_make_key of its id -> Ut */
-    uint64_t totals_ms; /* when the totals of all were last told to hold */
-    GPtrArray *removed; /* Ut: gone, with calls out */
-    double plain_ms;    /* usual first byte of a service without models */
+    uint64_t totals_ms; /* when the totals were last refreshed */
+    GPtrArray *removed; /* Ut: gone, with calls running */
+    double plain_ms;    /* mean time to first byte, services without models */
 };
 
 static void
@@ -145,7 +145,7 @@
     g_free(s);
 }
 
-/* ---- what is known of them ---------------------------------------------- */
+/* ---- state -------------------------------------------------------------- */
 
 static void
 drop(UtSet *s, Ut *u)
@@ -164,8 +164,8 @@
     }
 }
 
-/* Another life, or another place under the same id: nothing that was learnt
-   of the former holds. */
+/* A restarted process, or another address or service under the same id: what
+   was learnt of the former one no longer holds. */
 static bool
 is_same_instance(const DepUpstream *a, const DepUpstream *b)
 {
@@ -281,7 +281,7 @@
     }
 }
 
-/* ---- holding ------------------------------------------------------------ */
+/* ---- loaded models ------------------------------------------------------ */
 
 static bool
 is_absent(const Ut *u, uint64_t now_ms, const char *model, const char *adapter)
@@ -341,8 +341,9 @@
     return count * (1. - (double)age_ms / REPORT_FADE_MS);
 }
 
-/* An answer tells the load of its upstream, but with many gateways each sees
-   few answers of each; the placing VM's sum fills the gaps. */
+/* Load from other gateways.  Answers carry the load of their upstream, but
+   with many gateways each sees few answers of each upstream; the leader's
+   totals fill the gaps. */
 static double
 get_others(const Ut *u, uint64_t now_ms)
 {
@@ -356,14 +357,15 @@
     return u->running + get_others(u, now_ms);
 }
 
-/* What is held against it, eased with time. */
+/* Cost factor for slowness and failures, with their decay until now; 1:
+   none. */
 static double
 get_penalty(const Ut *u, uint64_t now_ms)
 {
-    double ease =
+    double decay =
         exp2(-(double)(now_ms - u->penalty_ms) / PENALTY_HALF_LIFE_MS);
-    double slow = 1 + (u->slowness - 1) * ease;
-    return slow * (1 + FAILURE_COST * u->fail_rate * ease);
+    double slow = 1 + (u->slowness - 1) * decay;
+    return slow * (1 + FAILURE_COST * u->fail_rate * decay);
 }
 
 static double
@@ -371,7 +373,7 @@
 {
     double cost = (ut_get_load(u, now_ms) + 1) * get_penalty(u, now_ms);
     if (strcmp(u->entry->data_centre, s->data_centre) != 0) {
-        /* A plain call is short: the way there is much of its time. */
+        /* A call without a model is short: the round trip is much of it. */
         cost *= q->model ? REMOTE_COST : REMOTE_COST * 1.3;
     }
     return cost;
@@ -391,7 +393,7 @@
 typedef struct {
     Ut *ut;
     double cost;
-    uint64_t rank; /* rendezvous */
+    uint64_t rank; /* rendezvous hash; the highest is preferred */
 } Candidate;
 
 static bool
@@ -400,15 +402,15 @@
     return now_ms < s->totals_ms + REPORT_FADE_MS;
 }
 
-/* The placing VM tries it as well, and tells when it is back: with hundreds of
-   gateways these tries of each are too many. */
+/* The leader probes it as well and publishes when it is back; probes of each
+   of hundreds of gateways besides would be too many. */
 static bool
 is_reported_unreachable(const Ut *u, uint64_t now_ms)
 {
     return u->reported_unreachable_ms && hears_leader(u->set, now_ms);
 }
 
-/* Could not be reached, and it is not yet time for a single try. */
+/* It is unreachable, and the next probe is not due yet or is running. */
 static bool
 awaits_probe(const Ut *u, uint64_t now_ms)
 {
@@ -421,8 +423,9 @@
            (u->probing || now_ms < u->unreachable_ms + u->probe_interval_ms);
 }
 
-/* One more would come late there.  The threshold differs by request: with one
-   for all, hundreds of gateways would hold back and send as one. */
+/* The queue there is too long for this request.  The threshold differs by
+   request: with one for all, hundreds of gateways would stop and resume
+   sending at the same moment. */
 static bool
 is_wait_too_long(const Ut *u, uint64_t now_ms, const UtQuery *q)
 {
@@ -436,8 +439,8 @@
     return XXH64(id, strlen(id), affinity);
 }
 
-/* The holder that all gateways prefer for these leading parts, unless it is
-   far more loaded than the others. */
+/* The upstream that all gateways prefer for this prompt prefix (rendezvous
+   hashing), passing over those that cost far more than the mean. */
 static const Candidate *
 prefer_by_affinity(const GArray *c, double mean)
 {
@@ -465,8 +468,8 @@
             return x;
         }
     }
-    /* The best of a few drawn at random: gateways that know the same loads,
-       a little old, would otherwise all run to one upstream. */
+    /* The cheapest of a few random candidates: gateways that know the same,
+       slightly stale loads would otherwise all choose the same upstream. */
     const Candidate *best = NULL;
     for (int i = 0; i < CANDIDATES_SAMPLED; i++) {
         const Candidate *x =
@@ -560,7 +563,7 @@
 }
 
 static void
-ease(Ut *u, uint64_t now_ms)
+decay_penalty(Ut *u, uint64_t now_ms)
 {
     double f = exp2(-(double)(now_ms - u->penalty_ms) / PENALTY_HALF_LIFE_MS);
     u->fail_rate *= f;
@@ -585,8 +588,9 @@
     s->plain_ms = MAX(1, mean + 0.05 * (first_ms - mean));
 }
 
-/* It may be back with nothing loaded, and turn away all that it held: until
-   it has answered, or is told of anew, single calls find that out. */
+/* The upstream may be back with nothing loaded, and refuse every model that it
+   held.  It gets only single probes until it has answered one conclusively or
+   its placement is published again. */
 static void
 note_inconclusive_probe(Ut *u, uint64_t now_ms)
 {
@@ -596,13 +600,13 @@
 }
 
 void
-ut_finish(UtSet *s, Ut *u, uint64_t now_ms, UtOutcome end, uint32_t first_ms,
-          const UtQuery *q)
+ut_finish(UtSet *s, Ut *u, uint64_t now_ms, UtOutcome outcome,
+          uint32_t first_ms, const UtQuery *q)
 {
     u->running--;
     u->probing = false;
-    ease(u, now_ms);
-    switch (end) {
+    decay_penalty(u, now_ms);
+    switch (outcome) {
     case UT_OUTCOME_GOOD:
         u->unreachable_ms = 0;
         u->failures = 0;
@@ -682,7 +686,7 @@
 static void
 set_total(Ut *u, const UtTotal *t)
 {
-    u->total = t->running;
+    u->fleet_running = t->running;
     u->told = t->running > u->running ? t->running - u->running : 0;
     u->fleet_wait_ms = t->wait_ms;
     u->stalled = t->stalled;
@@ -718,8 +722,8 @@
     g_hash_table_iter_init(&it, s->by_id);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const Ut *u = v;
-        UtTotal t = {ut_make_key(u->entry->id), u->total, u->fleet_wait_ms,
-                     u->stalled};
+        UtTotal t = {ut_make_key(u->entry->id), u->fleet_running,
+                     u->fleet_wait_ms, u->stalled};
         if (t.running > 0) {
             visit(ctx, &t);
         }
@@ -753,8 +757,8 @@
     return hears_leader(u->set, now_ms) ? u->fleet_wait_ms : 0;
 }
 
-/* Reading the prompt and the first step; a queue or other requests make it
-   longer. */
+/* Time of the first decoding step, after the prompt was processed; queueing
+   and concurrent requests add to it. */
 #define FIRST_STEP_MS 100.
 
 uint32_t
@@ -797,7 +801,7 @@
     if (now_ms < u->last_answer_ms + ALIVE_MS) {
         return true;
     }
-    /* What others hear counts only where they have requests. */
+    /* The totals are evidence only if other gateways have requests there. */
     return u->told > 0 && hears_leader(u->set, now_ms) && !u->stalled &&
            !u->reported_unreachable_ms;
 }
