--- a/src/gn_links.c
+++ b/src/gn_links.c
@@ -395,7 +395,7 @@
 void
 gn_tell_limits(Gateway *g, uint64_t now_ms)
 {
-    if (!wl_has_limits(g->limits) || !wl_tells(g->limits, now_ms)) {
+    if (!wl_has_limits(g->limits) || !wl_publishes(g->limits, now_ms)) {
         return;
     }
     g_autoptr(GArray) levels = g_array_new(FALSE, FALSE, sizeof(Gwp__Level));
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -360,7 +360,7 @@
     gn_tick_relay(g, now_ms);
     gn_follow_store(g, now_ms);
     gn_tick_start(g, now_ms);
-    bool pressed = wl_is_pressed(g->limits);
+    bool pressed = wl_is_near_limit(g->limits);
     if (now_ms >= g->demand_ms + (pressed ? PRESSED_MS : DEMAND_MS)) {
         gn_send_demand(g);
     }
--- a/src/wl.c
+++ b/src/wl.c
@@ -13,18 +13,18 @@
    request is as large for few gateways as for all. */
 #define GROUP_PART 0.12
 /* Levels are told several times a second; older ones don't count. */
-#define TOLD_LIFE_MS 500
+#define LEVELS_LIFETIME_MS 500
 /* Of its part of the bucket, that a process begins with which was never told
    anything: the one before it may have spent the rest. */
 #define START_PART 0.5
 /* What is missing here is in what is told so long after we told it. */
-#define JOIN_MS 400
+#define JOIN_DELAY_MS 400
 /* Assumed where the fleet's size was never told. */
 #define ASSUMED_FLEET 64
 /* While others are missing, who sums keeps to the rest of the limit, but to no
    less than this: most of those that are missing are down, and their callers
    come here. */
-#define LEAST_SHARE 0.6
+#define MIN_SHARE 0.6
 /* A level matters to others while less than this many times what is asked for
    could be let in. */
 #define NEAR_LIMIT 2
@@ -33,13 +33,13 @@
 #define FLEET_MEMORY_MS 30000
 /* Of what the bound allows beyond rate and burst, this part may be owed before
    nothing more is let in, however little is asked for. */
-#define DEBT_PART 0.4
+#define MAX_DEBT_PART 0.4
 /* Of the bucket, that one request is held against at most. */
-#define LARGE_PART 0.5
+#define MAX_REQUEST_PART 0.5
 /* An account that was not used for so long is dropped. */
 #define IDLE_MS 30000
 #define ROUNDING 1e-9 /* of a bucket: what sums of fractions may be off */
-#define LEAST_RETRY_MS 200
+#define MIN_RETRY_MS 200
 #define RETRY_SPREAD_MS 1000 /* callers don't all come back at once */
 
 /* Which counts an account is judged by. */
@@ -55,40 +55,41 @@
     char *workspace;
     double rate; /* a second */
     double burst;
-    double beyond;   /* what the bound allows in a window besides */
-    double capacity; /* of the bucket, all gateways together */
+    double allowance; /* what the bound allows in a window besides */
+    double capacity;  /* of the bucket, all gateways together */
     /* as far as this gateway knows, with those that it sums for */
     double level;
-    double asked; /* a second */
-    double apart; /* spent since it parted from what was told, and not told */
+    double asked;          /* a second */
+    double detached_spent; /* spent since it parted from what was told, and not
+                              told */
     uint64_t counted_ms;
-    uint64_t parted_ms; /* from what was told; 0: never */
+    uint64_t detached_ms; /* from what was told; 0: never */
     /* as last told; the whole capacity and 0 where it was not named */
-    double told_level;
-    double told_asked; /* a second */
-    double since_told; /* spent here since then */
-    double on_its_way; /* spent here before, and may not be in it */
+    double published_level;
+    double published_asked; /* a second */
+    double spent_since;     /* spent here since then */
+    double spent_in_flight; /* spent here before, and may not be in it */
     /* not told yet */
-    double untold_spent;
-    double untold_asked;
+    double unreported_spent;
+    double unreported_asked;
     uint64_t used_ms;
     View view; /* the last */
 } Account;
 
 struct Wl {
     WlParams params;
-    DepConfig *config;    /* NULL: none yet */
-    bool has_limits;      /* of any workspace */
-    GHashTable *accounts; /* workspace -> Account */
-    uint64_t told_ms;     /* levels were last told; 0: never */
-    double told_share;    /* of the fleet's limit, that they are of */
-    bool sums;
-    uint32_t heard;
-    uint32_t known;     /* 0: not told */
-    uint64_t known_ms;  /* when as many were last told of */
-    bool pressed;       /* some workspace is near its limit */
-    bool joins;         /* who tells us next counts us anew */
-    uint64_t joined_ms; /* when we told it what is missing here */
+    DepConfig *config;      /* NULL: none yet */
+    bool has_limits;        /* of any workspace */
+    GHashTable *accounts;   /* workspace -> Account */
+    uint64_t published_ms;  /* levels were last told; 0: never */
+    double published_share; /* of the fleet's limit, that they are of */
+    bool is_root;
+    uint32_t group_size;
+    uint32_t fleet_size;    /* 0: not told */
+    uint64_t fleet_size_ms; /* when as many were last told of */
+    bool near_limit;        /* some workspace is near its limit */
+    bool join_pending;      /* who tells us next counts us anew */
+    uint64_t joined_ms;     /* when we told it what is missing here */
     BgRandom rng;
 };
 
@@ -113,11 +114,11 @@
     double window_s = l->params.window_ms / 1000.;
     a->rate = w->rate_per_s;
     a->burst = w->burst;
-    a->beyond = l->params.excess * (w->rate_per_s * window_s + w->burst) +
-                l->params.slack;
+    a->allowance = l->params.excess * (w->rate_per_s * window_s + w->burst) +
+                   l->params.slack;
     /* A limit without any burst has to let single requests in as well. */
-    a->capacity =
-        MAX(a->burst + CAPACITY_PART * a->beyond, a->rate * SETTLE_MS / 1000.);
+    a->capacity = MAX(a->burst + CAPACITY_PART * a->allowance,
+                      a->rate * SETTLE_MS / 1000.);
 }
 
 /* Part of the fleet's limit that this gateway and those that it sums for may
@@ -125,9 +126,10 @@
 static double
 get_share(const Wl *l)
 {
-    uint32_t known = l->known ? MAX(l->known, l->heard) : ASSUMED_FLEET;
-    double heard = MIN((double)l->heard / known, 1);
-    return l->sums ? MAX(heard, LEAST_SHARE) : heard;
+    uint32_t fleet_size =
+        l->fleet_size ? MAX(l->fleet_size, l->group_size) : ASSUMED_FLEET;
+    double share = MIN((double)l->group_size / fleet_size, 1);
+    return l->is_root ? MAX(share, MIN_SHARE) : share;
 }
 
 /* Of the bucket that this gateway counts. */
@@ -135,62 +137,67 @@
 get_own_capacity(const Wl *l, const Account *a)
 {
     double share = get_share(l);
-    bool group = !l->sums && l->heard > 1;
-    return group ? MIN(share * a->burst + GROUP_PART * a->beyond, a->capacity)
-                 : share * a->capacity;
+    bool group = !l->is_root && l->group_size > 1;
+    return group
+               ? MIN(share * a->burst + GROUP_PART * a->allowance, a->capacity)
+               : share * a->capacity;
 }
 
 static View
 choose_view(const Wl *l, uint64_t now_ms)
 {
-    bool was_told = l->told_ms > 0;
-    if (!l->sums && was_told && now_ms < l->told_ms + TOLD_LIFE_MS &&
-        now_ms >= l->joined_ms + JOIN_MS) {
+    bool has_levels = l->published_ms > 0;
+    if (!l->is_root && has_levels &&
+        now_ms < l->published_ms + LEVELS_LIFETIME_MS &&
+        now_ms >= l->joined_ms + JOIN_DELAY_MS) {
         return VIEW_TOLD;
     }
-    return !l->sums && was_told && l->heard == 1 ? VIEW_ALONE : VIEW_OWN;
+    return !l->is_root && has_levels && l->group_size == 1 ? VIEW_ALONE
+                                                           : VIEW_OWN;
 }
 
 /* Own counts go on from our part of what was last told, less what was spent
    since. */
 static void
-take_over_told(const Wl *l, Account *a, uint64_t now_ms)
+detach(const Wl *l, Account *a, uint64_t now_ms)
 {
     double share = get_share(l);
     double own_capacity = get_own_capacity(l, a);
-    double filled = a->rate * share * (double)(now_ms - l->told_ms) / 1000.;
-    double part = MIN(a->told_level / (a->capacity * l->told_share), 1);
+    double filled =
+        a->rate * share * (double)(now_ms - l->published_ms) / 1000.;
+    double part =
+        MIN(a->published_level / (a->capacity * l->published_share), 1);
     double left = part * share * a->capacity;
-    double unheard = a->since_told + a->on_its_way;
-    a->level = MIN(left + filled, own_capacity) - unheard;
-    a->asked = MAX(a->asked, a->told_asked * share / l->told_share);
+    double in_flight = a->spent_since + a->spent_in_flight;
+    a->level = MIN(left + filled, own_capacity) - in_flight;
+    a->asked = MAX(a->asked, a->published_asked * share / l->published_share);
     a->counted_ms = now_ms;
-    a->parted_ms = now_ms;
+    a->detached_ms = now_ms;
     a->view = VIEW_OWN;
-    a->apart = a->untold_spent;
-    a->untold_spent = 0;
-    a->untold_asked = 0;
+    a->detached_spent = a->unreported_spent;
+    a->unreported_spent = 0;
+    a->unreported_asked = 0;
 }
 
 /* Who sums for us and went on to count our part of the rate learns what was
    asked for and spent here meanwhile. */
 static void
-tell_apart(const Wl *l, Account *a)
+reattach(const Wl *l, Account *a)
 {
     a->view = VIEW_TOLD;
-    if (a->parted_ms > l->joined_ms) {
-        a->untold_asked += a->asked * SETTLE_MS / 1000.;
-        a->untold_spent += a->apart;
+    if (a->detached_ms > l->joined_ms) {
+        a->unreported_asked += a->asked * SETTLE_MS / 1000.;
+        a->unreported_spent += a->detached_spent;
     }
 }
 
 /* Who sums for us from now on takes our part of the bucket as full, and learns
    what is missing there. */
 static void
-tell_missing(const Wl *l, Account *a)
+report_missing(const Wl *l, Account *a)
 {
-    a->untold_asked = a->asked * SETTLE_MS / 1000.;
-    a->untold_spent = MAX(get_share(l) * a->capacity - a->level, 0);
+    a->unreported_asked = a->asked * SETTLE_MS / 1000.;
+    a->unreported_spent = MAX(get_share(l) * a->capacity - a->level, 0);
 }
 
 /* Those that we sum for changed from SHARE of the fleet.  Whoever joins brings
@@ -214,10 +221,10 @@
 {
     View view = choose_view(l, now_ms);
     if (a->view == VIEW_TOLD && view != VIEW_TOLD) {
-        take_over_told(l, a, now_ms);
+        detach(l, a, now_ms);
     }
     else if (a->view != VIEW_TOLD && view == VIEW_TOLD) {
-        tell_apart(l, a);
+        reattach(l, a);
     }
     a->view = view;
     if (now_ms <= a->counted_ms) {
@@ -247,8 +254,8 @@
         a->workspace = g_strdup(workspace);
         a->counted_ms = now_ms;
         set_limit(l, a, w);
-        a->told_level = a->capacity;
-        bool fresh = !l->sums && l->told_ms == 0;
+        a->published_level = a->capacity;
+        bool fresh = !l->is_root && l->published_ms == 0;
         a->level = get_own_capacity(l, a) * (fresh ? START_PART : 1);
         g_hash_table_insert(l->accounts, a->workspace, a);
     }
@@ -263,16 +270,16 @@
    however fast.  A request that is large beside the bucket counts only in
    part, or none would be let in. */
 static double
-divide_allowed(const Account *a, double share, double level, double asked,
-               double cost)
+compute_admitted_part(const Account *a, double share, double level,
+                      double asked, double cost)
 {
-    if (level < -DEBT_PART * a->beyond * share) {
+    if (level < -MAX_DEBT_PART * a->allowance * share) {
         return 0;
     }
-    level -= MIN(cost, a->capacity * share * LARGE_PART);
+    level -= MIN(cost, a->capacity * share * MAX_REQUEST_PART);
     double allowed = a->rate * share + level * 1000. / SETTLE_MS;
     double part = asked > 0 ? MAX(allowed, 0) / asked : NEAR_LIMIT;
-    double lent = share < LEAST_SHARE ? 0 : a->capacity - a->burst;
+    double lent = share < MIN_SHARE ? 0 : a->capacity - a->burst;
     bool within = level >= lent * share - a->capacity * ROUNDING;
     return within ? MAX(part, 1) : part;
 }
@@ -280,45 +287,48 @@
 /* What is left of a level that was told a while ago: it goes towards zero,
    whether it was above or below. */
 static double
-get_told_level(const Wl *l, const Account *a, uint64_t now_ms)
+get_published_level(const Wl *l, const Account *a, uint64_t now_ms)
 {
-    double age_ms = now_ms > l->told_ms ? (double)(now_ms - l->told_ms) : 0;
-    return a->told_level * exp(-age_ms / SETTLE_MS);
+    double age_ms =
+        now_ms > l->published_ms ? (double)(now_ms - l->published_ms) : 0;
+    return a->published_level * exp(-age_ms / SETTLE_MS);
 }
 
 /* Of requests like one of COST, the part that may be let in; above 1: all. */
 static double
-get_part(const Wl *l, const Account *a, uint64_t now_ms, double cost)
+get_admitted_part(const Wl *l, const Account *a, uint64_t now_ms, double cost)
 {
     if (a->view == VIEW_OWN) {
-        return divide_allowed(a, get_share(l), a->level, a->asked, cost);
+        return compute_admitted_part(a, get_share(l), a->level, a->asked,
+                                     cost);
     }
     if (a->view == VIEW_ALONE && a->level <= 0) {
         return 0;
     }
-    return divide_allowed(a, l->told_share, get_told_level(l, a, now_ms),
-                          a->told_asked, cost);
+    return compute_admitted_part(a, l->published_share,
+                                 get_published_level(l, a, now_ms),
+                                 a->published_asked, cost);
 }
 
 /* As told, or as this gateway counts, whichever it goes by. */
 static double
 get_known_level(const Account *a)
 {
-    return a->view == VIEW_TOLD ? a->told_level : a->level;
+    return a->view == VIEW_TOLD ? a->published_level : a->level;
 }
 
 static uint32_t
 get_retry_ms(Wl *l, const Account *a, double cost)
 {
-    double share = a->view == VIEW_TOLD ? l->told_share : get_share(l);
+    double share = a->view == VIEW_TOLD ? l->published_share : get_share(l);
     double debt = MAX(-get_known_level(a), 0) + cost;
     double wait_ms = debt / (a->rate * share) * 1000;
-    return (uint32_t)CLAMP(wait_ms, LEAST_RETRY_MS, l->params.window_ms) +
+    return (uint32_t)CLAMP(wait_ms, MIN_RETRY_MS, l->params.window_ms) +
            bg_pick_random(&l->rng, RETRY_SPREAD_MS);
 }
 
 static bool
-draw(Wl *l, double part)
+admit_randomly(Wl *l, double part)
 {
     const uint32_t steps = 1 << 20;
     return bg_pick_random(&l->rng, steps) < part * steps;
@@ -330,8 +340,8 @@
 static bool
 is_joining(const Wl *l)
 {
-    return !l->sums &&
-           (l->told_ms == 0 || l->told_ms < l->joined_ms + JOIN_MS);
+    return !l->is_root && (l->published_ms == 0 ||
+                           l->published_ms < l->joined_ms + JOIN_DELAY_MS);
 }
 
 static void
@@ -339,13 +349,13 @@
 {
     a->level -= spent;
     a->asked += asked * 1000. / SETTLE_MS;
-    a->since_told += spent;
+    a->spent_since += spent;
     if (a->view == VIEW_TOLD || is_joining(l)) {
-        a->untold_spent += spent;
-        a->untold_asked += asked;
+        a->unreported_spent += spent;
+        a->unreported_asked += asked;
     }
     else {
-        a->apart += spent;
+        a->detached_spent += spent;
     }
 }
 
@@ -355,9 +365,10 @@
     why->retry_ms = get_retry_ms(l, a, cost);
     why->counts = view_names[a->view];
     why->level = get_known_level(a);
-    why->asked = a->view == VIEW_TOLD ? a->told_asked : a->asked;
-    why->let_in = get_part(l, a, now_ms, cost);
-    why->told_ms_ago = l->told_ms ? (int64_t)(now_ms - l->told_ms) : -1;
+    why->asked = a->view == VIEW_TOLD ? a->published_asked : a->asked;
+    why->let_in = get_admitted_part(l, a, now_ms, cost);
+    why->told_ms_ago =
+        l->published_ms ? (int64_t)(now_ms - l->published_ms) : -1;
 }
 
 bool
@@ -369,7 +380,7 @@
         return true;
     }
     count(l, a, 0, cost);
-    if (!draw(l, get_part(l, a, now_ms, cost))) {
+    if (!admit_randomly(l, get_admitted_part(l, a, now_ms, cost))) {
         explain(l, a, now_ms, cost, why);
         return false;
     }
@@ -412,12 +423,13 @@
     g_hash_table_iter_init(&it, l->accounts);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Account *a = v;
-        if (a->untold_spent != 0 || a->untold_asked != 0) {
-            WlSpent spent = {a->workspace, a->untold_spent, a->untold_asked};
+        if (a->unreported_spent != 0 || a->unreported_asked != 0) {
+            WlSpent spent = {a->workspace, a->unreported_spent,
+                             a->unreported_asked};
             visit(ctx, &spent);
         }
-        a->untold_spent = 0;
-        a->untold_asked = 0;
+        a->unreported_spent = 0;
+        a->unreported_asked = 0;
     }
 }
 
@@ -428,30 +440,30 @@
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, l->accounts);
-    while (l->told_ms > 0 && g_hash_table_iter_next(&it, NULL, &v)) {
+    while (l->published_ms > 0 && g_hash_table_iter_next(&it, NULL, &v)) {
         Account *a = v;
         if (a->view == VIEW_TOLD) {
-            take_over_told(l, a, now_ms);
+            detach(l, a, now_ms);
         }
         count_time(l, a, now_ms);
-        tell_missing(l, a);
+        report_missing(l, a);
     }
-    l->joins = false;
+    l->join_pending = false;
     l->joined_ms = now_ms;
 }
 
 static void
-forget_told(Wl *l)
+reset_published(Wl *l)
 {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, l->accounts);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Account *a = v;
-        a->told_level = a->capacity;
-        a->told_asked = 0;
-        a->on_its_way = a->since_told;
-        a->since_told = 0;
+        a->published_level = a->capacity;
+        a->published_asked = 0;
+        a->spent_in_flight = a->spent_since;
+        a->spent_since = 0;
     }
 }
 
@@ -459,18 +471,18 @@
 wl_on_levels(Wl *l, uint64_t now_ms, uint64_t sent_ms, double share,
              const WlLevel *levels, size_t n)
 {
-    if (l->joins || l->told_ms == 0) {
+    if (l->join_pending || l->published_ms == 0) {
         join(l, now_ms);
     }
-    l->told_ms = sent_ms;
-    l->told_share = share;
-    l->pressed = n > 0;
-    forget_told(l);
+    l->published_ms = sent_ms;
+    l->published_share = share;
+    l->near_limit = n > 0;
+    reset_published(l);
     for (size_t i = 0; i < n; i++) {
         Account *a = get_account(l, now_ms, levels[i].workspace);
         if (a) {
-            a->told_level = levels[i].level;
-            a->told_asked = levels[i].asked;
+            a->published_level = levels[i].level;
+            a->published_asked = levels[i].asked;
         }
     }
 }
@@ -482,7 +494,7 @@
 }
 
 bool
-wl_tells(const Wl *l, uint64_t now_ms)
+wl_publishes(const Wl *l, uint64_t now_ms)
 {
     return choose_view(l, now_ms) != VIEW_TOLD;
 }
@@ -499,16 +511,16 @@
                 void (*visit)(void *ctx, const WlLevel *level), void *ctx)
 {
     g_hash_table_foreach_remove(l->accounts, is_idle, &now_ms);
-    l->pressed = false;
+    l->near_limit = false;
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, l->accounts);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Account *a = v;
         count_time(l, a, now_ms);
-        if (get_part(l, a, now_ms, 0) < NEAR_LIMIT) {
+        if (get_admitted_part(l, a, now_ms, 0) < NEAR_LIMIT) {
             WlLevel level = {a->workspace, a->level, a->asked};
-            l->pressed = true;
+            l->near_limit = true;
             visit(ctx, &level);
         }
     }
@@ -541,7 +553,7 @@
 /* This gateway begins to sum for all: it goes on from its part of what was
    told, and others tell what is missing in theirs. */
 static void
-part_from_told(const Wl *l, uint64_t now_ms)
+detach_all(const Wl *l, uint64_t now_ms)
 {
     GHashTableIter it;
     gpointer v;
@@ -549,25 +561,27 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Account *a = v;
         if (a->view == VIEW_TOLD) {
-            take_over_told(l, a, now_ms);
+            detach(l, a, now_ms);
         }
     }
 }
 
 void
-wl_on_fleet(Wl *l, uint64_t now_ms, bool sums, uint32_t heard, uint32_t known)
+wl_on_fleet(Wl *l, uint64_t now_ms, bool is_root, uint32_t group_size,
+            uint32_t fleet_size)
 {
     double share = get_share(l);
-    bool begins = sums && !l->sums;
-    bool joined = begins || heard > l->heard;
+    bool begins = is_root && !l->is_root;
+    bool joined = begins || group_size > l->group_size;
     if (begins) {
-        part_from_told(l, now_ms);
+        detach_all(l, now_ms);
     }
-    l->sums = sums;
-    l->heard = heard;
-    if (known >= l->known || now_ms > l->known_ms + FLEET_MEMORY_MS) {
-        l->known = known;
-        l->known_ms = now_ms;
+    l->is_root = is_root;
+    l->group_size = group_size;
+    if (fleet_size >= l->fleet_size ||
+        now_ms > l->fleet_size_ms + FLEET_MEMORY_MS) {
+        l->fleet_size = fleet_size;
+        l->fleet_size_ms = now_ms;
     }
     GHashTableIter it;
     gpointer v;
@@ -580,24 +594,24 @@
 void
 wl_on_link(Wl *l)
 {
-    l->joins = true;
+    l->join_pending = true;
 }
 
 uint32_t
 wl_get_fleet(const Wl *l)
 {
-    return l->known;
+    return l->fleet_size;
 }
 
 bool
-wl_is_pressed(const Wl *l)
+wl_is_near_limit(const Wl *l)
 {
-    return l->pressed;
+    return l->near_limit;
 }
 
 /* False: the account of one that has no limit any more. */
 static bool
-renew_limit(const Wl *l, Account *a)
+update_limit(const Wl *l, Account *a)
 {
     const DepWorkspace *w =
         g_hash_table_lookup(l->config->workspaces, a->workspace);
@@ -609,13 +623,13 @@
 }
 
 static void
-renew_limits(Wl *l)
+update_limits(Wl *l)
 {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, l->accounts);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        if (!renew_limit(l, v)) {
+        if (!update_limit(l, v)) {
             g_hash_table_iter_remove(&it);
         }
     }
@@ -633,7 +647,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         l->has_limits = l->has_limits || has_limit(v);
     }
-    renew_limits(l);
+    update_limits(l);
 }
 
 void
@@ -641,7 +655,7 @@
 {
     l->params.excess = excess;
     l->params.slack = slack;
-    renew_limits(l);
+    update_limits(l);
 }
 
 Wl *
@@ -649,7 +663,7 @@
 {
     Wl *l = g_new0(Wl, 1);
     l->params = *params;
-    l->heard = 1;
+    l->group_size = 1;
     l->accounts =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_account);
     bg_seed_random(&l->rng, params->seed);
--- a/src/wl.h
+++ b/src/wl.h
@@ -72,14 +72,14 @@
 
 /* Of KNOWN gateways (0: unknown) this one sums for HEARD, itself included.
    SUMS: for all that there are; else only while nobody tells it. */
-void wl_on_fleet(Wl *l, uint64_t now_ms, bool sums, uint32_t heard,
-                 uint32_t known);
+void wl_on_fleet(Wl *l, uint64_t now_ms, bool is_root, uint32_t group_size,
+                 uint32_t fleet_size);
 /* Who sums for us is another than before, or counts us anew. */
 void wl_on_link(Wl *l);
 /* Gateways that there are, as far as is believed; 0: not known. */
 uint32_t wl_get_fleet(const Wl *l);
 /* Some workspace is near its limit: sums are worth telling more often. */
-bool wl_is_pressed(const Wl *l);
+bool wl_is_near_limit(const Wl *l);
 
 /* Let in a request of W that costs COST.  False: it is refused. */
 bool wl_take(Wl *l, uint64_t now_ms, const DepWorkspace *w, double cost,
@@ -100,7 +100,7 @@
 /* Of any workspace. */
 bool wl_has_limits(const Wl *l);
 /* Nobody tells us: we tell those that we sum for. */
-bool wl_tells(const Wl *l, uint64_t now_ms);
+bool wl_publishes(const Wl *l, uint64_t now_ms);
 /* The levels that matter; returns the share to tell with them. */
 double wl_visit_levels(Wl *l, uint64_t now_ms,
                        void (*visit)(void *ctx, const WlLevel *level),
--- a/tests/script_wl.c
+++ b/tests/script_wl.c
@@ -429,7 +429,7 @@
                .spent = g_array_new(FALSE, FALSE, sizeof(WlSpent)),
                .levels = g_array_new(FALSE, FALSE, sizeof(WlLevel))};
     Filling filling = {s, &f};
-    uint64_t pause_ms = wl_is_pressed(v->limits) ? TICK_MS : CALM_MS;
+    uint64_t pause_ms = wl_is_near_limit(v->limits) ? TICK_MS : CALM_MS;
     if (s->now_ms >= v->spent_ms + pause_ms && is_linked(s, vm)) {
         v->spent_ms = s->now_ms;
         f.to = v->target;
@@ -444,7 +444,7 @@
         wl_on_fleet(v->limits, s->now_ms, vm == s->placing,
                     count_linked(s, vm) + 1,
                     told_fleet ? (uint32_t)s->vms : 0);
-        if (wl_tells(v->limits, s->now_ms)) {
+        if (wl_publishes(v->limits, s->now_ms)) {
             f.is_spent = false;
             f.told_ms = s->now_ms;
             f.share =
