--- a/src/wl.c
+++ b/src/wl.c
@@ -2,51 +2,55 @@
 
 #include <math.h>
 
-/* What is asked for a second is a mean over this, and a level that is off is
-   brought back to zero in about as long.  Sums need about half of it on their
-   way; a shorter time would make the part that is let in swing. */
+/* Time constant of the mean rate of demand, and the time in which a level is
+   steered back to zero.  Aggregation takes about half of it; a shorter time
+   would make the admitted fraction oscillate. */
 #define SETTLE_MS 700
-/* Of what the bound allows beyond rate and burst, this part is lent to bursts;
-   the rest is for what sums learn late. */
+/* Part of the allowance (what the bound permits beyond rate and burst) that is
+   added to the bucket for bursts; the rest covers the delay of aggregation. */
 #define CAPACITY_PART 0.15
-/* The same of a relay that goes by its own counts, whatever its share: a
-   request is as large for few gateways as for all. */
+/* The same for a relay that goes by its own counts.  It does not depend on the
+   relay's share: a request is as large for few gateways as for all. */
 #define GROUP_PART 0.12
-/* Levels are told several times a second; older ones don't count. */
+/* Levels are published several times a second; older ones are not used. */
 #define LEVELS_LIFETIME_MS 500
-/* Of its part of the bucket, that a process begins with which was never told
-   anything: the one before it may have spent the rest. */
+/* Part of its share of the bucket with which a new process starts, until it
+   first gets levels: the process before it may have spent the rest. */
 #define START_PART 0.5
-/* What is missing here is in what is told so long after we told it. */
+/* Time until a report of what is missing from this gateway's share is included
+   in the published levels. */
 #define JOIN_DELAY_MS 400
-/* Assumed where the fleet's size was never told. */
+/* Number of gateways assumed while the fleet's size is unknown. */
 #define ASSUMED_FLEET 64
-/* While others are missing, who sums keeps to the rest of the limit, but to no
-   less than this: most of those that are missing are down, and their callers
-   come here. */
+/* Minimum share of the root aggregator.  While it does not hear from some
+   gateways it leaves their shares unused, but not below this: most of them are
+   down, and their callers come to the others. */
 #define MIN_SHARE 0.6
-/* A level matters to others while less than this many times what is asked for
-   could be let in. */
+/* A workspace is near its limit, and its level is published, while less than
+   this many times its demand could be admitted. */
 #define NEAR_LIMIT 2
-/* A smaller fleet than before is believed after so long: whoever has just
-   begun to sum knows only a few, and those cut off go on spending. */
+/* A decrease of the fleet's size takes effect after this time: a new root
+   aggregator knows only a few gateways at first, and gateways that are cut off
+   go on spending. */
 #define FLEET_MEMORY_MS 30000
-/* Of what the bound allows beyond rate and burst, this part may be owed before
-   nothing more is let in, however little is asked for. */
+/* Part of the allowance that may be owed before nothing more is admitted,
+   however low the demand. */
 #define MAX_DEBT_PART 0.4
-/* Of the bucket, that one request is held against at most. */
+/* Part of the bucket that the cost of a single request counts for at most when
+   it is admitted or refused. */
 #define MAX_REQUEST_PART 0.5
-/* An account that was not used for so long is dropped. */
+/* Accounts unused for this long are removed. */
 #define IDLE_MS 30000
-#define ROUNDING 1e-9 /* of a bucket: what sums of fractions may be off */
+#define ROUNDING 1e-9 /* of a bucket: rounding error of summed fractions */
 #define MIN_RETRY_MS 200
-#define RETRY_SPREAD_MS 1000 /* callers don't all come back at once */
+#define RETRY_SPREAD_MS 1000 /* so that callers don't all retry at once */
 
-/* Which counts an account is judged by. */
+/* The counts by which requests are admitted. */
 typedef enum {
-    VIEW_OWN,   /* of this gateway and those that it sums for */
-    VIEW_ALONE, /* its own, which sums for nobody, and what was last told */
-    VIEW_TOLD
+    VIEW_OWN,   /* of this gateway and those that it aggregates for */
+    VIEW_ALONE, /* isolated: the last levels received, while the gateway's own
+                   share lasts; it aggregates for no other */
+    VIEW_TOLD   /* levels published by the aggregator */
 } View;
 
 static const char *const view_names[] = {"own", "alone", "told"};
@@ -55,41 +59,42 @@
     char *workspace;
     double rate; /* a second */
     double burst;
-    double allowance; /* what the bound allows in a window besides */
+    double allowance; /* by the bound, beyond rate and burst */
     double capacity;  /* of the bucket, all gateways together */
-    /* as far as this gateway knows, with those that it sums for */
+    /* counted here, for this gateway and those that it aggregates for */
     double level;
     double asked;          /* a second */
-    double detached_spent; /* spent since it parted from what was told, and not
-                              told */
+    double detached_spent; /* since detached_ms, not reported */
     uint64_t counted_ms;
-    uint64_t detached_ms; /* from what was told; 0: never */
-    /* as last told; the whole capacity and 0 where it was not named */
+    uint64_t detached_ms; /* when it last left VIEW_TOLD; 0: never */
+    /* last received from the aggregator; a workspace that it did not list has
+       a full bucket and no demand */
     double published_level;
     double published_asked; /* a second */
-    double spent_since;     /* spent here since then */
-    double spent_in_flight; /* spent here before, and may not be in it */
-    /* not told yet */
+    double spent_since;     /* spent here after it */
+    double spent_in_flight; /* spent here before, may not be included in it */
+    /* not reported to the aggregator yet */
     double unreported_spent;
     double unreported_asked;
     uint64_t used_ms;
-    View view; /* the last */
+    View view; /* last used */
 } Account;
 
 struct Wl {
     WlParams params;
-    DepConfig *config;      /* NULL: none yet */
-    bool has_limits;        /* of any workspace */
-    GHashTable *accounts;   /* workspace -> Account */
-    uint64_t published_ms;  /* levels were last told; 0: never */
-    double published_share; /* of the fleet's limit, that they are of */
-    bool is_root;
-    uint32_t group_size;
-    uint32_t fleet_size;    /* 0: not told */
-    uint64_t fleet_size_ms; /* when as many were last told of */
+    DepConfig *config;    /* NULL: none yet */
+    bool has_limits;      /* of any workspace */
+    GHashTable *accounts; /* workspace -> Account */
+    uint64_t
+        published_ms; /* when the last levels received were sent; 0: none */
+    double published_share; /* part of the fleet's limit that they are for */
+    bool is_root;           /* aggregates for the whole fleet */
+    uint32_t group_size;    /* gateways aggregated here, including this one */
+    uint32_t fleet_size;    /* 0: unknown */
+    uint64_t fleet_size_ms; /* when it was last reported as large as that */
     bool near_limit;        /* some workspace is near its limit */
-    bool join_pending;      /* who tells us next counts us anew */
-    uint64_t joined_ms;     /* when we told it what is missing here */
+    bool join_pending;      /* the next levels are from a new aggregator */
+    uint64_t joined_ms;     /* when what is missing here was reported to it */
     BgRandom rng;
 };
 
@@ -116,13 +121,13 @@
     a->burst = w->burst;
     a->allowance = l->params.excess * (w->rate_per_s * window_s + w->burst) +
                    l->params.slack;
-    /* A limit without any burst has to let single requests in as well. */
+    /* A limit without a burst must also admit single requests. */
     a->capacity = MAX(a->burst + CAPACITY_PART * a->allowance,
                       a->rate * SETTLE_MS / 1000.);
 }
 
-/* Part of the fleet's limit that this gateway and those that it sums for may
-   use where they go by their own counts. */
+/* Part of the fleet's limit for this gateway and those that it aggregates for,
+   where they go by their own counts. */
 static double
 get_share(const Wl *l)
 {
@@ -132,7 +137,7 @@
     return l->is_root ? MAX(share, MIN_SHARE) : share;
 }
 
-/* Of the bucket that this gateway counts. */
+/* Capacity of the bucket that is counted here. */
 static double
 get_own_capacity(const Wl *l, const Account *a)
 {
@@ -156,8 +161,8 @@
                                                            : VIEW_OWN;
 }
 
-/* Own counts go on from our part of what was last told, less what was spent
-   since. */
+/* Starts own counts, from this group's share of the level last published less
+   what was spent here since. */
 static void
 detach(const Wl *l, Account *a, uint64_t now_ms)
 {
@@ -179,8 +184,9 @@
     a->unreported_asked = 0;
 }
 
-/* Who sums for us and went on to count our part of the rate learns what was
-   asked for and spent here meanwhile. */
+/* Returns to the published levels.  If the aggregator is the same as before,
+   it went on counting this group's share of the rate, so demand and usage from
+   meanwhile are reported to it. */
 static void
 reattach(const Wl *l, Account *a)
 {
@@ -191,8 +197,8 @@
     }
 }
 
-/* Who sums for us from now on takes our part of the bucket as full, and learns
-   what is missing there. */
+/* A new aggregator counts this group's share of the bucket as full; what is
+   missing from it is reported. */
 static void
 report_missing(const Wl *l, Account *a)
 {
@@ -200,9 +206,9 @@
     a->unreported_spent = MAX(get_share(l) * a->capacity - a->level, 0);
 }
 
-/* Those that we sum for changed from SHARE of the fleet.  Whoever joins brings
-   a full part of the bucket, and tells what is missing there; whoever leaves
-   takes its part of what is left, or owed. */
+/* The group's share of the fleet changed from SHARE.  A gateway that joins
+   brings a full share of the bucket, and reports what is missing from it; one
+   that leaves takes its part of the level, or of the debt. */
 static void
 resize(const Wl *l, Account *a, double share, bool joined)
 {
@@ -215,7 +221,7 @@
     }
 }
 
-/* Bring A's own counts to NOW_MS. */
+/* Advances A's own counts to NOW_MS. */
 static void
 count_time(const Wl *l, Account *a, uint64_t now_ms)
 {
@@ -264,11 +270,12 @@
     return a;
 }
 
-/* ---- letting in --------------------------------------------------------- */
+/* ---- admission ---------------------------------------------------------- */
 
-/* While the configured burst covers COST, all that comes is within the limit,
-   however fast.  A request that is large beside the bucket counts only in
-   part, or none would be let in. */
+/* The fraction of requests of COST to admit; 1 or more: all.  While the
+   configured burst covers COST, every request is within the limit, however
+   high the demand.  A request that is large compared with the bucket counts
+   only in part, or none would be admitted. */
 static double
 compute_admitted_part(const Account *a, double share, double level,
                       double asked, double cost)
@@ -284,8 +291,8 @@
     return within ? MAX(part, 1) : part;
 }
 
-/* What is left of a level that was told a while ago: it goes towards zero,
-   whether it was above or below. */
+/* The published level, decayed by its age: levels are steered towards zero
+   from above and below. */
 static double
 get_published_level(const Wl *l, const Account *a, uint64_t now_ms)
 {
@@ -294,7 +301,7 @@
     return a->published_level * exp(-age_ms / SETTLE_MS);
 }
 
-/* Of requests like one of COST, the part that may be let in; above 1: all. */
+/* The fraction of requests of COST to admit by A's view; 1 or more: all. */
 static double
 get_admitted_part(const Wl *l, const Account *a, uint64_t now_ms, double cost)
 {
@@ -310,7 +317,7 @@
                                  a->published_asked, cost);
 }
 
-/* As told, or as this gateway counts, whichever it goes by. */
+/* The level that applies in A's view. */
 static double
 get_known_level(const Account *a)
 {
@@ -334,9 +341,9 @@
     return bg_pick_random(&l->rng, steps) < part * steps;
 }
 
-/* Goes by its own counts, but tells what it spends: a process that was never
-   told anything, of whose part nobody knows, and one that has just told what
-   is missing in its part. */
+/* The gateway goes by its own counts but reports its usage: it has never got
+   levels, so no aggregator knows its share, or it has just reported what is
+   missing from its share. */
 static bool
 is_joining(const Wl *l)
 {
@@ -397,7 +404,7 @@
     }
 }
 
-/* ---- sums --------------------------------------------------------------- */
+/* ---- aggregation -------------------------------------------------------- */
 
 bool
 wl_is_amount(double amount, double asked)
@@ -433,7 +440,8 @@
     }
 }
 
-/* What a process spent that was never told anything is untold as it is. */
+/* A process that has not got levels before has nothing to do here: all its
+   usage is in unreported_spent already. */
 static void
 join(Wl *l, uint64_t now_ms)
 {
@@ -548,10 +556,10 @@
     }
 }
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- fleet and settings ------------------------------------------------- */
 
-/* This gateway begins to sum for all: it goes on from its part of what was
-   told, and others tell what is missing in theirs. */
+/* This gateway becomes the root: its counts start from its group's share of
+   the published levels, and the others report what is missing from theirs. */
 static void
 detach_all(const Wl *l, uint64_t now_ms)
 {
@@ -609,7 +617,7 @@
     return l->near_limit;
 }
 
-/* False: the account of one that has no limit any more. */
+/* Returns false if the workspace has no limit any more. */
 static bool
 update_limit(const Wl *l, Account *a)
 {
