--- a/src/gn_lease.c
+++ b/src/gn_lease.c
@@ -258,6 +258,6 @@
     Gateway *g = ctx;
     /* Not known, or given up: the link stays where it is until somebody
        holds it. */
-    const char *address = g->lease ? ls_get_holder_address(g->lease) : NULL;
+    const char *address = g->lease ? ls_get_leader_address(g->lease) : NULL;
     gn_set_placer(g, address ? address : g->uplink.placer);
 }
--- a/src/gn_links.c
+++ b/src/gn_links.c
@@ -317,7 +317,7 @@
     s.n_waits = waits->len;
     s.waits = (Gwp__Wait **)waits->pdata;
     s.gateways = gateways;
-    s.rest_ms = ls_get_rest_ms(g->lease, now_ms);
+    s.rest_ms = ls_get_order_delay_ms(g->lease, now_ms);
     s.reads_store = gn_reads_store(g, now_ms);
     s.informed = s.reads_store || gn_has_reader(g);
     s.config_version = g->config ? g->config->version : 0;
@@ -341,7 +341,7 @@
     send_state(g, NULL, now_ms, gateways);
     rb_on_gateways(g->budget, now_ms, gateways);
     if (g->placing) {
-        gw_on_placer(g->gw, now_ms, ls_get_rest_ms(g->lease, now_ms));
+        gw_on_placer(g->gw, now_ms, ls_get_order_delay_ms(g->lease, now_ms));
         gn_pace_mail(g, gn_count_linked(g), gateways);
     }
 }
@@ -540,7 +540,7 @@
     g->informed = s->informed;
     ut_on_totals(g->upstreams, sent_ms, NULL, 0, false);
     if (!s->idle) {
-        ls_on_heard(g->lease, sent_ms);
+        ls_on_leader_contact(g->lease, sent_ms);
         gw_on_placer(g->gw, now_ms, s->rest_ms);
     }
     rb_on_gateways(g->budget, now_ms, s->gateways);
--- a/src/ls.c
+++ b/src/ls.c
@@ -5,11 +5,12 @@
 
 #define REFUSED_PAUSE_MS 120 /* a store that refuses is not pressed */
 #define MAX_READ_DOUBLINGS 2
-#define READ_PAUSE_MS 300 /* between reads while the holder is not heard */
+#define READ_INTERVAL_MS 300 /* between reads while the holder is not heard   \
+                              */
 /* Not all VMs claim at one moment, and the former holder, whose VM needs no
    rest, goes before them. */
-#define FIRST_CLAIM_MS 120
-#define JITTER_MS 200
+#define MIN_CLAIM_DELAY_MS 120
+#define CLAIM_JITTER_MS 200
 /* "free" in place of a process: the holder gave the lease up. */
 #define FREE_PROCESS "free"
 
@@ -23,15 +24,15 @@
 
     uint64_t tail;
     uint64_t newest; /* 1 + offset of the newest record seen; 0: none */
-    char *holder_vm; /* of the newest record; NULL: none was written */
-    char *holder_process;
-    char *holder_address;
-    uint64_t seen_ms;      /* when that record was first seen */
-    uint64_t read_sent_ms; /* of the last read that was answered */
-    uint64_t heard_ms;     /* the holder, over a link */
-
-    uint64_t sent_ms;     /* of the append that is out */
-    uint64_t read_out_ms; /* of the read that is out */
+    char *record_vm; /* of the newest record; NULL: none was written */
+    char *record_process;
+    char *record_address;
+    uint64_t record_seen_ms; /* when that record was first seen */
+    uint64_t read_sent_ms;   /* of the last read that was answered */
+    uint64_t contact_ms;     /* the holder, over a link */
+
+    uint64_t append_sent_ms;  /* of the append that is out */
+    uint64_t read_started_ms; /* of the read that is out */
     uint64_t next_read_ms;
     uint64_t next_append_ms; /* after one was refused */
     uint64_t next_claim_ms;  /* 0: not waiting to claim */
@@ -43,14 +44,14 @@
     uint64_t yielded_until_ms;
     uint64_t held_off_until_ms;
 
-    uint32_t holder_rest_ms; /* that its VM had left when it was written */
-    uint32_t holder_fleet;   /* 0: not told */
-    uint32_t fleet;          /* that we tell with our own */
-    uint32_t failed_reads;   /* in a row */
-    bool known;              /* the topic was read once */
+    uint32_t record_delay_ms; /* that its VM had left when it was written */
+    uint32_t record_fleet;    /* 0: not told */
+    uint32_t fleet;           /* that we tell with our own */
+    uint32_t failed_reads;    /* in a row */
+    bool known;               /* the topic was read once */
     bool reading;
     bool writing;
-    bool giving_up; /* the append that is out frees the lease */
+    bool releasing; /* the append that is out frees the lease */
     bool holding;
     bool stopping;
 };
@@ -74,26 +75,26 @@
     g_free(l->vm);
     g_free(l->process);
     g_free(l->address);
-    g_free(l->holder_vm);
-    g_free(l->holder_process);
-    g_free(l->holder_address);
+    g_free(l->record_vm);
+    g_free(l->record_process);
+    g_free(l->record_address);
     g_free(l);
 }
 
 static bool
 is_ours(const Ls *l)
 {
-    return g_strcmp0(l->holder_process, l->process) == 0;
+    return g_strcmp0(l->record_process, l->process) == 0;
 }
 
 static bool
 is_free(const Ls *l)
 {
-    return !l->holder_process || strcmp(l->holder_process, FREE_PROCESS) == 0;
+    return !l->record_process || strcmp(l->record_process, FREE_PROCESS) == 0;
 }
 
 static void
-lose(Ls *l)
+end_leadership(Ls *l)
 {
     if (l->holding) {
         l->holding = false;
@@ -109,19 +110,20 @@
 {
     g_auto(GStrv) words = g_strsplit(value ? value : "", " ", RECORD_WORDS);
     bool whole = g_strv_length(words) == RECORD_WORDS;
-    g_free(l->holder_vm);
-    g_free(l->holder_process);
-    g_free(l->holder_address);
-    l->holder_vm = g_strdup(whole ? words[0] : "?");
-    l->holder_process = g_strdup(whole ? words[1] : "?");
-    l->holder_address = whole ? g_strdup(words[2]) : NULL;
-    char *rest = NULL;
-    l->holder_rest_ms = whole ? (uint32_t)strtoul(words[3], &rest, 10) : 0;
-    l->holder_fleet = rest ? (uint32_t)strtoul(rest, NULL, 10) : 0;
-    l->seen_ms = now_ms;
+    g_free(l->record_vm);
+    g_free(l->record_process);
+    g_free(l->record_address);
+    l->record_vm = g_strdup(whole ? words[0] : "?");
+    l->record_process = g_strdup(whole ? words[1] : "?");
+    l->record_address = whole ? g_strdup(words[2]) : NULL;
+    char *number_end = NULL;
+    l->record_delay_ms =
+        whole ? (uint32_t)strtoul(words[3], &number_end, 10) : 0;
+    l->record_fleet = number_end ? (uint32_t)strtoul(number_end, NULL, 10) : 0;
+    l->record_seen_ms = now_ms;
     l->next_claim_ms = 0;
     if (!is_ours(l)) {
-        lose(l);
+        end_leadership(l);
     }
     l->out.changed(l->out.ctx);
 }
@@ -130,7 +132,7 @@
 make_record(const Ls *l, uint64_t now_ms, const char *process)
 {
     return g_strdup_printf("%s %s %s %u %u", l->vm, process, l->address,
-                           ls_get_rest_ms(l, now_ms), l->fleet);
+                           ls_get_order_delay_ms(l, now_ms), l->fleet);
 }
 
 static void
@@ -138,7 +140,7 @@
 {
     g_autofree char *value = make_record(l, now_ms, process);
     l->writing = true;
-    l->sent_ms = now_ms;
+    l->append_sent_ms = now_ms;
     l->out.append(l->out.ctx, l->tail, value);
 }
 
@@ -146,19 +148,19 @@
 static uint64_t
 find_order_time(const Ls *l, uint64_t now_ms)
 {
-    if (!l->holder_process) {
+    if (!l->record_process) {
         return now_ms;
     }
     /* A process on the same VM follows itself, or one that is gone: it goes on
        with what that had left to rest.  Without that a successor that was
        killed or cut off in its rest ordered at once when it was back, beside
        the orders of the one before it. */
-    if (strcmp(l->holder_vm, l->vm) == 0) {
-        return MAX(now_ms, l->seen_ms + l->holder_rest_ms);
+    if (strcmp(l->record_vm, l->vm) == 0) {
+        return MAX(now_ms, l->record_seen_ms + l->record_delay_ms);
     }
     /* One that gave the lease up ordered nothing after it wrote that. */
     uint32_t order_ms = is_free(l) ? 0 : l->params.order_ms;
-    return MAX(now_ms, l->seen_ms + order_ms + l->params.rest_ms);
+    return MAX(now_ms, l->record_seen_ms + order_ms + l->params.rest_ms);
 }
 
 /* When the lease may be claimed; 0: not as far as we know. */
@@ -169,14 +171,14 @@
         return 1;
     }
     /* Our own VM's former process is gone: its ports are ours. */
-    if (g_strcmp0(l->holder_vm, l->vm) == 0) {
+    if (g_strcmp0(l->record_vm, l->vm) == 0) {
         return 1;
     }
-    return l->seen_ms + l->params.lease_ms;
+    return l->record_seen_ms + l->params.lease_ms;
 }
 
 static void
-consider_claim(Ls *l, uint64_t now_ms)
+claim_if_due(Ls *l, uint64_t now_ms)
 {
     uint64_t from_ms = find_claim_time(l);
     if (now_ms < from_ms) {
@@ -188,11 +190,11 @@
         return;
     }
     if (l->next_claim_ms == 0) {
-        bool former = g_strcmp0(l->holder_vm, l->vm) == 0;
+        bool same_vm = g_strcmp0(l->record_vm, l->vm) == 0;
         l->next_claim_ms = now_ms;
-        if (!former) {
-            l->next_claim_ms += FIRST_CLAIM_MS + l->params.claim_ms +
-                                bg_pick_random(&l->rng, JITTER_MS);
+        if (!same_vm) {
+            l->next_claim_ms += MIN_CLAIM_DELAY_MS + l->params.claim_delay_ms +
+                                bg_pick_random(&l->rng, CLAIM_JITTER_MS);
         }
     }
     if (now_ms >= l->next_claim_ms) {
@@ -203,14 +205,14 @@
 }
 
 static void
-consider_read(Ls *l, uint64_t now_ms)
+read_if_due(Ls *l, uint64_t now_ms)
 {
-    bool quiet = !l->holding && now_ms >= l->held_off_until_ms &&
-                 now_ms - l->heard_ms > l->params.quiet_ms;
+    bool out_of_contact = !l->holding && now_ms >= l->held_off_until_ms &&
+                          now_ms - l->contact_ms > l->params.leader_timeout_ms;
     if (!l->reading && !l->writing && now_ms >= l->next_read_ms &&
-        (!l->known || quiet)) {
+        (!l->known || out_of_contact)) {
         l->reading = true;
-        l->read_out_ms = now_ms;
+        l->read_started_ms = now_ms;
         l->out.read(l->out.ctx, l->tail);
     }
 }
@@ -221,19 +223,19 @@
     if (l->holding && now_ms >= l->valid_until_ms) {
         bg_log(BG_WARN, "lease", "lapsed: not renewed for %u ms",
                l->params.lease_ms);
-        lose(l);
+        end_leadership(l);
     }
-    consider_read(l, now_ms);
+    read_if_due(l, now_ms);
     if (!l->known || l->writing || l->reading || now_ms < l->next_append_ms) {
         return;
     }
     if (!l->holding) {
         if (!l->stopping && now_ms >= l->yielded_until_ms &&
             now_ms >= l->held_off_until_ms) {
-            consider_claim(l, now_ms);
+            claim_if_due(l, now_ms);
         }
     }
-    else if (now_ms >= l->sent_ms + l->params.renew_ms) {
+    else if (now_ms >= l->append_sent_ms + l->params.renew_ms) {
         start_append(l, now_ms, l->process);
     }
 }
@@ -243,15 +245,15 @@
            uint64_t offset, uint64_t tail)
 {
     l->reading = false;
-    l->next_read_ms =
-        now_ms + (READ_PAUSE_MS << MIN(l->failed_reads, MAX_READ_DOUBLINGS));
+    l->next_read_ms = now_ms + (READ_INTERVAL_MS
+                                << MIN(l->failed_reads, MAX_READ_DOUBLINGS));
     if (end != ST_OK) {
         l->failed_reads++;
         return;
     }
     l->failed_reads = 0;
     l->known = true;
-    l->read_sent_ms = l->read_out_ms;
+    l->read_sent_ms = l->read_started_ms;
     if (value && offset + 1 > l->newest) {
         l->newest = offset + 1;
         take_record(l, now_ms, value);
@@ -260,44 +262,44 @@
 }
 
 static void
-take_right(Ls *l, uint64_t now_ms, uint64_t offset)
+begin_leadership(Ls *l, uint64_t now_ms, uint64_t offset)
 {
     l->holding = true;
     l->token = offset + 1;
     bg_log(BG_INFO, "lease", "held, token %llu, first order in %u ms",
-           (unsigned long long)l->token, ls_get_rest_ms(l, now_ms));
+           (unsigned long long)l->token, ls_get_order_delay_ms(l, now_ms));
 }
 
 void
 ls_on_append(Ls *l, uint64_t now_ms, StEnd end, uint64_t offset, uint64_t tail)
 {
     l->writing = false;
-    if (l->giving_up) {
+    if (l->releasing) {
         /* Done or not, what the topic says now is to be read. */
-        l->giving_up = false;
+        l->releasing = false;
         l->known = false;
         l->next_read_ms = now_ms;
-        g_free(l->holder_process);
-        l->holder_process = g_strdup(FREE_PROCESS);
+        g_free(l->record_process);
+        l->record_process = g_strdup(FREE_PROCESS);
         l->out.changed(l->out.ctx);
         return;
     }
     if (end == ST_OK && now_ms < l->yielded_until_ms) {
         /* It was given up while this renewal was out. */
         l->tail = offset + 1;
-        l->giving_up = true;
+        l->releasing = true;
         start_append(l, now_ms, FREE_PROCESS);
         return;
     }
     if (end == ST_OK) {
         bool began = !l->holding && !l->stopping;
         if (began) {
-            take_right(l, now_ms, offset);
+            begin_leadership(l, now_ms, offset);
         }
         l->tail = offset + 1;
         l->newest = offset + 1;
-        l->valid_until_ms = l->sent_ms + l->params.lease_ms;
-        l->renewed_ms = l->sent_ms;
+        l->valid_until_ms = l->append_sent_ms + l->params.lease_ms;
+        l->renewed_ms = l->append_sent_ms;
         g_autofree char *value = make_record(l, now_ms, l->process);
         take_record(l, now_ms, value);
         return;
@@ -315,9 +317,9 @@
 }
 
 void
-ls_on_heard(Ls *l, uint64_t heard_ms)
+ls_on_leader_contact(Ls *l, uint64_t contact_ms)
 {
-    l->heard_ms = MAX(l->heard_ms, heard_ms);
+    l->contact_ms = MAX(l->contact_ms, contact_ms);
 }
 
 void
@@ -327,12 +329,12 @@
 }
 
 static void
-give_up_lease(Ls *l, uint64_t now_ms)
+release_lease(Ls *l, uint64_t now_ms)
 {
     bool free_it = l->holding && !l->writing;
-    lose(l);
+    end_leadership(l);
     if (free_it) {
-        l->giving_up = true;
+        l->releasing = true;
         start_append(l, now_ms, FREE_PROCESS);
     }
 }
@@ -341,17 +343,17 @@
 ls_yield(Ls *l, uint64_t now_ms, uint32_t pause_ms)
 {
     l->yielded_until_ms = now_ms + pause_ms;
-    give_up_lease(l, now_ms);
+    release_lease(l, now_ms);
 }
 
 void
-ls_leave(Ls *l)
+ls_stop_claiming(Ls *l)
 {
     l->stopping = true;
 }
 
 bool
-ls_is_holder(const Ls *l, uint64_t now_ms)
+ls_is_leader(const Ls *l, uint64_t now_ms)
 {
     return l->holding && now_ms < l->valid_until_ms;
 }
@@ -359,7 +361,7 @@
 bool
 ls_may_order(const Ls *l, uint64_t now_ms)
 {
-    return ls_is_holder(l, now_ms) && now_ms >= l->order_from_ms &&
+    return ls_is_leader(l, now_ms) && now_ms >= l->order_from_ms &&
            now_ms < l->renewed_ms + l->params.order_ms;
 }
 
@@ -370,22 +372,22 @@
 }
 
 uint32_t
-ls_get_rest_ms(const Ls *l, uint64_t now_ms)
+ls_get_order_delay_ms(const Ls *l, uint64_t now_ms)
 {
     return now_ms < l->order_from_ms ? (uint32_t)(l->order_from_ms - now_ms)
                                      : 0;
 }
 
 const char *
-ls_get_holder_address(const Ls *l)
+ls_get_leader_address(const Ls *l)
 {
-    return is_free(l) ? NULL : l->holder_address;
+    return is_free(l) ? NULL : l->record_address;
 }
 
 const char *
-ls_get_holder_vm(const Ls *l)
+ls_get_leader_vm(const Ls *l)
 {
-    return is_free(l) ? NULL : l->holder_vm;
+    return is_free(l) ? NULL : l->record_vm;
 }
 
 void
@@ -397,5 +399,5 @@
 uint32_t
 ls_get_fleet(const Ls *l)
 {
-    return l->holder_fleet;
+    return l->record_fleet;
 }
--- a/src/ls.h
+++ b/src/ls.h
@@ -25,8 +25,9 @@
     uint32_t renew_ms;   /* between renewals */
     uint32_t order_ms;   /* how long an unrenewed right to order lasts */
     uint32_t rest_ms;    /* from another VM's right to order to ours */
-    uint32_t quiet_ms;   /* without a word of the holder: ask the store */
-    uint32_t claim_ms;   /* later than others: this VM is less fit */
+    uint32_t
+        leader_timeout_ms;   /* without a word of the holder: ask the store */
+    uint32_t claim_delay_ms; /* later than others: this VM is less fit */
     uint64_t seed;
 } LsParams;
 
@@ -52,7 +53,7 @@
 void ls_on_append(Ls *l, uint64_t now_ms, StEnd end, uint64_t offset,
                   uint64_t tail);
 /* The holder was heard over a link: it lived at HEARD_MS. */
-void ls_on_heard(Ls *l, uint64_t heard_ms);
+void ls_on_leader_contact(Ls *l, uint64_t contact_ms);
 /* Somebody else follows the lease for this VM: it reads and claims nothing
    until UNTIL_MS. */
 void ls_hold_off(Ls *l, uint64_t until_ms);
@@ -62,18 +63,18 @@
 /* This process is about to stop: it claims the lease no more, but goes on
    renewing one that it holds.  Its successor on the same VM, which is there
    in less time than a lease, takes it over without a rest. */
-void ls_leave(Ls *l);
+void ls_stop_claiming(Ls *l);
 
 /* Whether an order may be sent at this moment. */
 bool ls_may_order(const Ls *l, uint64_t now_ms);
-bool ls_is_holder(const Ls *l, uint64_t now_ms);
+bool ls_is_leader(const Ls *l, uint64_t now_ms);
 /* Token of our right: higher than that of any holder before. */
 uint64_t ls_get_token(const Ls *l);
 /* Until the first order of this holder; 0: it may order. */
-uint32_t ls_get_rest_ms(const Ls *l, uint64_t now_ms);
+uint32_t ls_get_order_delay_ms(const Ls *l, uint64_t now_ms);
 /* Link address of the holder, NULL when it is not known. */
-const char *ls_get_holder_address(const Ls *l);
-const char *ls_get_holder_vm(const Ls *l);
+const char *ls_get_leader_address(const Ls *l);
+const char *ls_get_leader_vm(const Ls *l);
 /* Gateways that there are, written with each renewal: a process that has just
    started learns it before any gateway tells it. */
 void ls_set_fleet(Ls *l, uint32_t gateways);
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -222,7 +222,7 @@
         (unsigned long long)(now_ms - g->config_ms), ut_count(g->upstreams),
         gw_count(g->gw), ht_count_connections(g->front),
         g->placing ? "true" : "false",
-        ls_get_holder_vm(g->lease) ? ls_get_holder_vm(g->lease) : "",
+        ls_get_leader_vm(g->lease) ? ls_get_leader_vm(g->lease) : "",
         lk_is_open(g->links) ? "true" : "false", lk_count_peers(g->links),
         g->uplink.relay ? g->uplink.relay : "");
 }
@@ -284,7 +284,7 @@
 static void
 follow_lease(Gateway *g, uint64_t now_ms)
 {
-    bool places = ls_is_holder(g->lease, now_ms);
+    bool places = ls_is_leader(g->lease, now_ms);
     if (places != g->placing) {
         g->placing = places;
         JlLine *l = jl_begin(places ? "lease-held" : "lease-lost");
@@ -430,7 +430,7 @@
     JlLine *l = jl_begin("stopping");
     jl_number(l, "requests", gw_count(g->gw));
     jl_end(l);
-    ls_leave(g->lease);
+    ls_stop_claiming(g->lease);
     if (!g->placing) {
         gn_dismiss_members(g);
     }
--- a/tests/unit_gateway.c
+++ b/tests/unit_gateway.c
@@ -105,7 +105,7 @@
         for (int i = 0; i < n; i++) {
             ls_on_tick(vms[i].lease, *now_ms);
             vm_answer(&vms[i], *now_ms);
-            holders += ls_is_holder(vms[i].lease, *now_ms);
+            holders += ls_is_leader(vms[i].lease, *now_ms);
         }
         CU_ASSERT(holders <= 1);
     }
@@ -147,8 +147,8 @@
     v[0].cut = true;
     uint64_t cut_ms = now_ms;
     vm_run(v, 2, &now_ms, 2500);
-    CU_ASSERT_FALSE(ls_is_holder(v[0].lease, now_ms));
-    CU_ASSERT(ls_is_holder(v[1].lease, now_ms));
+    CU_ASSERT_FALSE(ls_is_leader(v[0].lease, now_ms));
+    CU_ASSERT(ls_is_leader(v[1].lease, now_ms));
     CU_ASSERT_FALSE(ls_may_order(v[1].lease, now_ms));
     CU_ASSERT(ls_get_token(v[1].lease) > token);
     vm_run(v, 2, &now_ms, 3000);
@@ -204,7 +204,7 @@
         x->lost_until_ms = until_ms;
         break;
     default: {
-        const char *name = ls_get_holder_vm(x->vm.lease);
+        const char *name = ls_get_leader_vm(x->vm.lease);
         (void)name;
         g_autofree char *vm = g_strdup_printf("v%u", x->lives % 10);
         g_autofree char *process =
@@ -348,10 +348,10 @@
     vm_run(v, 2, &now_ms, 400);
     ls_yield(v[0].lease, now_ms, 5000);
     vm_run(v, 2, &now_ms, 900);
-    CU_ASSERT(ls_is_holder(v[1].lease, now_ms));
+    CU_ASSERT(ls_is_leader(v[1].lease, now_ms));
     CU_ASSERT_FALSE(ls_may_order(v[1].lease, now_ms));
-    CU_ASSERT(ls_get_rest_ms(v[1].lease, now_ms) > 2000);
-    CU_ASSERT_STRING_EQUAL(ls_get_holder_vm(v[0].lease), "b");
+    CU_ASSERT(ls_get_order_delay_ms(v[1].lease, now_ms) > 2000);
+    CU_ASSERT_STRING_EQUAL(ls_get_leader_vm(v[0].lease), "b");
     vm_stop(&v[0]);
     vm_stop(&v[1]);
     g_free(t.newest);
@@ -375,11 +375,11 @@
     }
     ls_yield(v[0].lease, now_ms, 5000);
     vm_answer(&v[0], now_ms);
-    CU_ASSERT_FALSE(ls_is_holder(v[0].lease, now_ms));
+    CU_ASSERT_FALSE(ls_is_leader(v[0].lease, now_ms));
     vm_run(v, 2, &now_ms, 1200);
-    CU_ASSERT(ls_is_holder(v[1].lease, now_ms));
+    CU_ASSERT(ls_is_leader(v[1].lease, now_ms));
     vm_run(v, 2, &now_ms, 2000);
-    CU_ASSERT_FALSE(ls_is_holder(v[0].lease, now_ms));
+    CU_ASSERT_FALSE(ls_is_leader(v[0].lease, now_ms));
     vm_stop(&v[0]);
     vm_stop(&v[1]);
     g_free(t.newest);
@@ -398,7 +398,7 @@
     vm_run(v, 1, &now_ms, 1000);
     vm_start(&v[1], &t, "b", "b1");
     vm_run(v, 2, &now_ms, 400);
-    ls_leave(v[0].lease);
+    ls_stop_claiming(v[0].lease);
     vm_run(v, 2, &now_ms, 3000);
     CU_ASSERT(ls_may_order(v[0].lease, now_ms));
     vm_stop(&v[0]);
@@ -406,10 +406,10 @@
     vm_start(&v[0], &t, "a", "a2");
     vm_run(v, 2, &now_ms, 300);
     CU_ASSERT(ls_may_order(v[0].lease, now_ms));
-    ls_leave(v[0].lease);
+    ls_stop_claiming(v[0].lease);
     vm_stop(&v[0]);
     vm_run(&v[1], 1, &now_ms, 2000);
-    CU_ASSERT(ls_is_holder(v[1].lease, now_ms));
+    CU_ASSERT(ls_is_leader(v[1].lease, now_ms));
     vm_stop(&v[1]);
     g_free(t.newest);
 }
@@ -428,7 +428,7 @@
     CU_ASSERT_EQUAL(ls_get_fleet(v[1].lease), 0);
     vm_run(v, 2, &now_ms, 400);
     CU_ASSERT_EQUAL(ls_get_fleet(v[1].lease), 90);
-    CU_ASSERT_STRING_EQUAL(ls_get_holder_address(v[1].lease), "127.0.0.1:1");
+    CU_ASSERT_STRING_EQUAL(ls_get_leader_address(v[1].lease), "127.0.0.1:1");
     vm_stop(&v[0]);
     vm_stop(&v[1]);
     g_free(t.newest);
