--- a/src/ls.c
+++ b/src/ls.c
@@ -3,15 +3,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define REFUSED_PAUSE_MS 120 /* a store that refuses is not pressed */
+/* Pause after the store refused an append, so as not to add to its load. */
+#define REFUSED_PAUSE_MS 120
+/* Between reads of the topic while there is no contact with the leader;
+   doubled after each failed read, up to MAX_READ_DOUBLINGS times. */
+#define READ_INTERVAL_MS 300
 #define MAX_READ_DOUBLINGS 2
-#define READ_INTERVAL_MS 300 /* between reads while the holder is not heard   \
-                              */
-/* Not all VMs claim at one moment, and the former holder, whose VM needs no
-   rest, goes before them. */
+/* VMs claim at different times, and the VM of the former leader, which needs
+   no guard interval, claims before all others. */
 #define MIN_CLAIM_DELAY_MS 120
 #define CLAIM_JITTER_MS 200
-/* "free" in place of a process: the holder gave the lease up. */
+/* In a record in place of a process: the lease was released. */
 #define FREE_PROCESS "free"
 
 struct Ls {
@@ -24,34 +26,34 @@
 
     uint64_t tail;
     uint64_t newest; /* 1 + offset of the newest record seen; 0: none */
-    char *record_vm; /* of the newest record; NULL: none was written */
+    char *record_vm; /* of the newest record; NULL: there is none */
     char *record_process;
     char *record_address;
-    uint64_t record_seen_ms; /* when that record was first seen */
-    uint64_t read_sent_ms;   /* of the last read that was answered */
-    uint64_t contact_ms;     /* the holder, over a link */
+    uint64_t record_seen_ms; /* when the newest record was first seen */
+    uint64_t read_sent_ms;   /* start of the last read that succeeded */
+    uint64_t contact_ms;     /* last contact with the leader over a link */
 
-    uint64_t append_sent_ms;  /* of the append that is out */
-    uint64_t read_started_ms; /* of the read that is out */
+    uint64_t append_sent_ms;  /* start of the last append */
+    uint64_t read_started_ms; /* start of the last read */
     uint64_t next_read_ms;
-    uint64_t next_append_ms; /* after one was refused */
-    uint64_t next_claim_ms;  /* 0: not waiting to claim */
+    uint64_t next_append_ms; /* not before, as one was refused */
+    uint64_t next_claim_ms;  /* 0: no claim is due */
 
     uint64_t token;
-    uint64_t valid_until_ms; /* of our right */
+    uint64_t valid_until_ms; /* end of this VM's lease */
     uint64_t renewed_ms;     /* when the last renewal was sent */
     uint64_t order_from_ms;
     uint64_t yielded_until_ms;
     uint64_t held_off_until_ms;
 
-    uint32_t record_delay_ms; /* that its VM had left when it was written */
-    uint32_t record_fleet;    /* 0: not told */
-    uint32_t fleet;           /* that we tell with our own */
-    uint32_t failed_reads;    /* in a row */
-    bool known;               /* the topic was read once */
+    uint32_t record_delay_ms; /* until its VM's first order, when written */
+    uint32_t record_fleet;    /* 0: not in the record */
+    uint32_t fleet;           /* written in our records */
+    uint32_t failed_reads;    /* consecutive */
+    bool known;               /* the end of the topic has been read */
     bool reading;
     bool writing;
-    bool releasing; /* the append that is out frees the lease */
+    bool releasing; /* the pending append releases the lease */
     bool holding;
     bool stopping;
 };
@@ -104,7 +106,7 @@
 
 #define RECORD_WORDS 4
 
-/* "VM PROCESS ADDRESS REST [FLEET]", words without blanks. */
+/* VALUE: "VM PROCESS ADDRESS ORDER_DELAY_MS [FLEET]", words without blanks. */
 static void
 take_record(Ls *l, uint64_t now_ms, const char *value)
 {
@@ -144,33 +146,33 @@
     l->out.append(l->out.ctx, l->tail, value);
 }
 
-/* When a right that is claimed now would begin to order. */
+/* When a lease that is claimed now would permit the first order. */
 static uint64_t
 find_order_time(const Ls *l, uint64_t now_ms)
 {
     if (!l->record_process) {
         return now_ms;
     }
-    /* A process on the same VM follows itself, or one that is gone: it goes on
-       with what that had left to rest.  Without that a successor that was
-       killed or cut off in its rest ordered at once when it was back, beside
-       the orders of the one before it. */
+    /* This process or a former one of the same VM had the lease: what was left
+       of its guard interval still applies.  Otherwise a successor that was
+       killed or cut off during the guard interval would send orders as soon as
+       it is back, concurrently with late ones of the leader before it. */
     if (strcmp(l->record_vm, l->vm) == 0) {
         return MAX(now_ms, l->record_seen_ms + l->record_delay_ms);
     }
-    /* One that gave the lease up ordered nothing after it wrote that. */
+    /* A leader sends no orders after it wrote that it released the lease. */
     uint32_t order_ms = is_free(l) ? 0 : l->params.order_ms;
     return MAX(now_ms, l->record_seen_ms + order_ms + l->params.rest_ms);
 }
 
-/* When the lease may be claimed; 0: not as far as we know. */
+/* When the lease may be claimed, going by the newest record. */
 static uint64_t
 find_claim_time(const Ls *l)
 {
     if (is_free(l)) {
         return 1;
     }
-    /* Our own VM's former process is gone: its ports are ours. */
+    /* The former process of this VM is gone: this one has its ports. */
     if (g_strcmp0(l->record_vm, l->vm) == 0) {
         return 1;
     }
@@ -185,7 +187,8 @@
         l->next_claim_ms = 0;
         return;
     }
-    /* A read that was sent after that time showed no renewal. */
+    /* Only a read that was started after that time shows that the lease was
+       not renewed. */
     if (l->read_sent_ms < from_ms) {
         return;
     }
@@ -275,7 +278,7 @@
 {
     l->writing = false;
     if (l->releasing) {
-        /* Done or not, what the topic says now is to be read. */
+        /* Whether the append was done or not, the topic is read again. */
         l->releasing = false;
         l->known = false;
         l->next_read_ms = now_ms;
@@ -285,7 +288,7 @@
         return;
     }
     if (end == ST_OK && now_ms < l->yielded_until_ms) {
-        /* It was given up while this renewal was out. */
+        /* The lease was yielded while this renewal was pending. */
         l->tail = offset + 1;
         l->releasing = true;
         start_append(l, now_ms, FREE_PROCESS);
@@ -309,8 +312,8 @@
                             bg_pick_random(&l->rng, REFUSED_PAUSE_MS);
         return;
     }
-    /* Somebody wrote, or our own append was done and its answer lost: the
-       topic tells which. */
+    /* Another VM wrote a record, or this append was done and its answer lost:
+       reading the topic shows which. */
     (void)tail;
     l->known = false;
     l->next_read_ms = now_ms;
--- a/src/ls.h
+++ b/src/ls.h
@@ -1,13 +1,14 @@
-/* ls: the lease under which one VM at a time may order upstreams.
+/* ls: the lease for placement.  It elects the leader, the one VM at a time
+   that may send orders to upstreams.
 
-   The lease is the newest record of a topic of its own.  Whoever appends
-   under the condition that nothing was written since holds it, and renews it
-   the same way.  A holder counts its right from the moment at which it sent
-   the renewal that was acknowledged; a successor counts from the moment at
-   which it saw that renewal, which is later, and its own append fails if
-   there was another.  So two rights never overlap, whatever is lost, late or
-   paused.  The first order of a successor waits REST_MS more, for upstreams
-   that don't check tokens.
+   The lease is the newest record of a topic of its own in the store.  A VM
+   acquires and renews it by a conditional append, which fails if another
+   record was written since it read the topic.  The leader's lease runs from
+   the moment at which it sent the acknowledged renewal.  A successor counts
+   from the moment at which it saw that renewal, which is later.  So the leases
+   of two VMs never overlap, whatever is lost, late or paused.  Upstreams that
+   don't check tokens could still act on a late order of the former leader:
+   the first order of its successor waits for a guard interval (rest_ms) more.
 
    A state machine without threads, I/O or clock; times are of a clock that
    goes on while the VM is suspended (bg_boot_ms). */
@@ -19,25 +20,26 @@
 
 typedef struct {
     const char *vm;      /* this VM */
-    const char *process; /* this process, unlike any other's */
+    const char *process; /* unique id of this process */
     const char *address; /* where others reach its links */
-    uint32_t lease_ms;   /* how long an unrenewed right lasts */
+    uint32_t lease_ms;   /* duration of the lease from its last renewal */
     uint32_t renew_ms;   /* between renewals */
-    uint32_t order_ms;   /* how long an unrenewed right to order lasts */
-    uint32_t rest_ms;    /* from another VM's right to order to ours */
-    uint32_t
-        leader_timeout_ms;   /* without a word of the holder: ask the store */
-    uint32_t claim_delay_ms; /* later than others: this VM is less fit */
+    uint32_t order_ms;   /* how long after a renewal orders may be sent */
+    uint32_t rest_ms;    /* guard interval between the former leader's last
+                            order and the first of this VM */
+    uint32_t leader_timeout_ms; /* no contact for so long: read the store */
+    uint32_t claim_delay_ms;    /* before a claim; larger on less fit VMs */
     uint64_t seed;
 } LsParams;
 
 typedef struct {
     void *ctx;
-    /* Answered by ls_on_read; at most one is out. */
+    /* Answered by ls_on_read; at most one is pending. */
     void (*read)(void *ctx, uint64_t from);
-    /* Answered by ls_on_append; at most one is out. */
+    /* Answered by ls_on_append; at most one is pending. */
     void (*append)(void *ctx, uint64_t at, const char *value);
-    /* Another holder is known, or this VM's right began or ended. */
+    /* The known leader changed, or this VM began or ceased to lead.  Also
+       called for each renewal. */
     void (*changed)(void *ctx);
 } LsOutput;
 
@@ -52,33 +54,33 @@
                 uint64_t offset, uint64_t tail);
 void ls_on_append(Ls *l, uint64_t now_ms, StEnd end, uint64_t offset,
                   uint64_t tail);
-/* The holder was heard over a link: it lived at HEARD_MS. */
+/* The leader was heard from over a link: it was alive at CONTACT_MS. */
 void ls_on_leader_contact(Ls *l, uint64_t contact_ms);
-/* Somebody else follows the lease for this VM: it reads and claims nothing
-   until UNTIL_MS. */
+/* This VM does not read or claim the lease until UNTIL_MS: its relay follows
+   it meanwhile. */
 void ls_hold_off(Ls *l, uint64_t until_ms);
-/* Give the lease up, and leave it to others for PAUSE_MS: what this VM
-   should order it can't reach. */
+/* Releases the lease and claims it no more for PAUSE_MS, as this VM can't
+   reach the upstreams. */
 void ls_yield(Ls *l, uint64_t now_ms, uint32_t pause_ms);
-/* This process is about to stop: it claims the lease no more, but goes on
-   renewing one that it holds.  Its successor on the same VM, which is there
-   in less time than a lease, takes it over without a rest. */
+/* This process is about to stop: it does not claim the lease any more, but
+   goes on renewing it if it has it.  Its successor on the same VM, which
+   starts before the lease ends, takes it over without a new guard interval. */
 void ls_stop_claiming(Ls *l);
 
-/* Whether an order may be sent at this moment. */
+/* Whether orders may be sent at this moment. */
 bool ls_may_order(const Ls *l, uint64_t now_ms);
 bool ls_is_leader(const Ls *l, uint64_t now_ms);
-/* Token of our right: higher than that of any holder before. */
+/* Fencing token of this VM's lease: higher than that of any former leader. */
 uint64_t ls_get_token(const Ls *l);
-/* Until the first order of this holder; 0: it may order. */
+/* Time until this leader may send its first order; 0: it has passed. */
 uint32_t ls_get_order_delay_ms(const Ls *l, uint64_t now_ms);
-/* Link address of the holder, NULL when it is not known. */
+/* Link address and VM of the leader; NULL: unknown. */
 const char *ls_get_leader_address(const Ls *l);
 const char *ls_get_leader_vm(const Ls *l);
-/* Gateways that there are, written with each renewal: a process that has just
-   started learns it before any gateway tells it. */
+/* Number of gateways in the fleet, written with each renewal, so that a newly
+   started process has it before it gets any heartbeat. */
 void ls_set_fleet(Ls *l, uint32_t gateways);
-/* As the newest record tells; 0: it doesn't. */
+/* The number in the newest record; 0: none. */
 uint32_t ls_get_fleet(const Ls *l);
 
 #endif
