--- a/src/rb.c
+++ b/src/rb.c
@@ -1,24 +1,25 @@
 #include "rb.h"
 
-/* The window slides, so it is counted in slices; a repeat is held against
-   the budget until its whole slice has left the window. */
+/* The sliding window is counted in slices; a retry counts until its whole
+   slice has left the window. */
 #define SLICES 10
-/* Of the allowance: requests may arrive elsewhere than they are counted. */
-#define CAUTION 0.7
-/* Share of the slack of a process that has just started: the one before it
-   may have spent the rest. */
-#define FRESH_SHARE 0.3
+/* Part of the budget that is used: requests may arrive elsewhere than where
+   they are counted. */
+#define SAFETY_FACTOR 0.7
+/* Part of its slack that a new process uses in its first window: the process
+   before it may have spent the rest. */
+#define NEW_PROCESS_SHARE 0.3
 
 typedef struct {
     uint64_t slice; /* number of the newest slice counted */
     uint32_t requests[SLICES + 1];
-    uint32_t repeats[SLICES + 1];
+    uint32_t retries[SLICES + 1];
 } Account;
 
 struct Rb {
     RbParams params;
     uint64_t start_ms;
-    uint64_t gateways_ms; /* when as many were last seen */
+    uint64_t gateways_ms; /* when params.gateways or more were last known */
     GHashTable *accounts; /* service -> Account */
 };
 
@@ -73,7 +74,7 @@
     while (a->slice < slice) {
         a->slice++;
         a->requests[a->slice % (SLICES + 1)] = 0;
-        a->repeats[a->slice % (SLICES + 1)] = 0;
+        a->retries[a->slice % (SLICES + 1)] = 0;
     }
     return a;
 }
@@ -90,18 +91,18 @@
 {
     Account *a = get_account(b, now_ms, service);
     uint32_t requests = 0;
-    uint32_t repeats = 0;
+    uint32_t retries = 0;
     for (int i = 0; i <= SLICES; i++) {
         requests += a->requests[i];
-        repeats += a->repeats[i];
+        retries += a->retries[i];
     }
-    bool new_here = now_ms < b->start_ms + b->params.window_ms;
+    bool is_new = now_ms < b->start_ms + b->params.window_ms;
     double slack = b->params.slack / MAX(b->params.gateways, 1) *
-                   (new_here ? FRESH_SHARE : 1);
-    double allowed = CAUTION * (b->params.ratio * requests + slack);
-    if (repeats + 1 > allowed) {
+                   (is_new ? NEW_PROCESS_SHARE : 1);
+    double allowed = SAFETY_FACTOR * (b->params.ratio * requests + slack);
+    if (retries + 1 > allowed) {
         return false;
     }
-    a->repeats[a->slice % (SLICES + 1)]++;
+    a->retries[a->slice % (SLICES + 1)]++;
     return true;
 }
--- a/src/rb.h
+++ b/src/rb.h
@@ -1,7 +1,8 @@
-/* rb: the budget of repeats.  A service must not get more arrivals beyond
-   the first of each request, in any window, than a share of its requests and
-   a fixed slack, summed over all gateways.  Gateways don't ask one another:
-   each keeps the share of its own requests and an equal part of the slack.
+/* rb: the retry budget.  In any window, the retries that a service receives
+   from all gateways together must not exceed a ratio of its requests plus a
+   fixed slack.  Gateways don't coordinate: each keeps to the ratio of its own
+   requests and an equal part of the slack.
+
    No threads, I/O or clock. */
 #ifndef RB_H
 #define RB_H
@@ -10,27 +11,27 @@
 
 typedef struct {
     uint32_t window_ms;
-    double ratio;      /* repeats allowed for each request */
-    double slack;      /* repeats allowed besides, all gateways */
-    uint32_t gateways; /* that may exist at once */
+    double ratio;      /* retries allowed for each request */
+    double slack;      /* further retries allowed, for all gateways */
+    uint32_t gateways; /* that may share the slack */
 } RbParams;
 
 typedef struct Rb Rb;
 
-/* Until a window after NOW_MS most of the slack is left alone: a process that
-   ended here may have spent it. */
+/* For one window from NOW_MS only a small part of the slack is used: a former
+   process of this gateway may have spent the rest. */
 Rb *rb_create(const RbParams *params, uint64_t now_ms);
 void rb_destroy(Rb *b);
-/* The settings changed. */
+/* The settings of ratio and slack changed. */
 void rb_set_allowance(Rb *b, double ratio, double slack);
-/* So many are seen now.  Fewer than before are believed only when nobody saw
-   more for RB_MEMORY_MS: those cut off from us go on spending. */
+/* GATEWAYS are known now.  A decrease takes effect only after RB_MEMORY_MS
+   without a larger number: gateways that are cut off go on spending. */
 #define RB_MEMORY_MS 30000
 void rb_on_gateways(Rb *b, uint64_t now_ms, uint32_t gateways);
 
-/* A request for SERVICE has come. */
+/* A request for SERVICE has arrived. */
 void rb_on_request(Rb *b, uint64_t now_ms, const char *service);
-/* True: one more arrival beyond the first is allowed, and counted. */
+/* Returns true, and counts the retry, if one more is within the budget. */
 bool rb_take(Rb *b, uint64_t now_ms, const char *service);
 
 #endif
--- a/src/rl.c
+++ b/src/rl.c
@@ -3,15 +3,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define SPARES 1 /* of each data centre stay linked beside its relays */
+/* Gateways of each data centre that stay linked to the leader besides its
+   relays. */
+#define SPARES 1
 
-/* A peer with what the plan derives. */
 typedef struct {
     const RlPeer *peer;
     size_t which;
-    bool fit;      /* at least half as fit as the fittest there */
-    uint32_t load; /* members, and those on their way */
-    uint32_t moved;
+    bool fit;      /* at least half as fit as the fittest of its data centre */
+    uint32_t load; /* members, including those that this plan moves to it */
+    uint32_t moved; /* members that this plan moves to it */
 } Candidate;
 
 static int
@@ -26,8 +27,8 @@
     return (b > a) - (b < a);
 }
 
-/* Those that should relay come first; one that does already goes before one
-   that is as fit, so that its members stay. */
+/* Sorts the best candidates for a relay first.  An existing relay precedes
+   others that are fit as well, so that its members stay. */
 static int
 compare_candidates(const void *a, const void *b)
 {
@@ -48,7 +49,7 @@
     return strcmp(x->peer->data_centre, y->peer->data_centre);
 }
 
-/* The relay with the least to do that takes one more; NULL: none. */
+/* The relay with the fewest members that accepts one more; NULL: none. */
 static Candidate *
 pick_relay(Candidate *relays, size_t count, const RlParams *params,
            const char *shunned)
@@ -69,23 +70,23 @@
 static void
 mark_fit(Candidate *list, size_t count)
 {
-    uint32_t most = 0;
+    uint32_t max_fitness = 0;
     for (size_t i = 0; i < count; i++) {
-        most = MAX(most, list[i].peer->fitness);
+        max_fitness = MAX(max_fitness, list[i].peer->fitness);
     }
     for (size_t i = 0; i < count; i++) {
-        list[i].fit = list[i].peer->fitness * 2 >= most;
+        list[i].fit = list[i].peer->fitness * 2 >= max_fitness;
     }
 }
 
-/* A small VM that relays since no other was there. */
+/* A small VM that became a relay because no other was there. */
 static bool
-should_hand_over(const Candidate *c, const Candidate *best)
+should_step_down(const Candidate *c, const Candidate *best)
 {
     return c->peer->members > 0 && !c->fit && best->fit;
 }
 
-/* C and its members, which follow it. */
+/* Moves C, and with it its members, to a relay. */
 static void
 move_to_relay(Candidate *relays, size_t count, const RlParams *params,
               const Candidate *c, RlMove move, void *ctx)
@@ -98,7 +99,7 @@
     }
 }
 
-/* LIST: all of one data centre. */
+/* LIST: all candidates of one data centre. */
 static void
 plan_data_centre(const RlParams *params, Candidate *list, size_t count,
                  RlMove move, void *ctx)
@@ -113,7 +114,7 @@
     size_t spares = SPARES;
     for (size_t i = relays; i < count; i++) {
         const Candidate *c = &list[i];
-        if (spares > 0 && !should_hand_over(c, &list[0])) {
+        if (spares > 0 && !should_step_down(c, &list[0])) {
             spares--;
             continue;
         }
--- a/src/rl.h
+++ b/src/rl.h
@@ -1,12 +1,14 @@
-/* rl: which gateways stay linked to the placing VM, and to which relay the
-   others go.
+/* rl: the plan of relays.  It decides which gateways stay linked to the
+   leader, and to which relay the others move their link.
 
-   The load that it answers: hundreds of gateways all need what is placed
-   where, and the placing VM's link and processor carry a few dozen of them.
-   The fittest of a data centre relay to the others there: what is told goes
-   once to each relay and once to each of its members, and what is asked for
-   comes back summed.  A further VM of each data centre stays linked to the
-   placing one, to take a lost relay's place at once.
+   Above a number of direct links the fittest VMs of each data centre become
+   relays for the other gateways there.  An update of the leader is sent once
+   to each relay and by it once to each of its members; demand comes back
+   aggregated.  One more VM of each data centre stays linked to the leader as a
+   spare, to replace a lost relay at once.
+
+   Workload: hundreds of gateways all need the placement of models, and the
+   leader's link and processor can serve a few dozen of them.
 
    No threads, I/O or clock. */
 #ifndef RL_H
@@ -15,26 +17,28 @@
 #include "bg_base.h"
 
 typedef struct {
-    uint32_t direct;  /* links that the placing VM serves without relays */
-    uint32_t members; /* that one relay serves */
-    uint32_t moves;   /* members that one relay gets at a time: each is told
-                         all there is */
+    uint32_t direct;  /* links that the leader serves without relays */
+    uint32_t members; /* most members of one relay */
+    uint32_t moves; /* most new members of one relay by one plan: each is sent
+                       the full state */
 } RlParams;
 
-/* A gateway that is linked to the placing VM. */
+/* A gateway that is linked to the leader. */
 typedef struct {
     const char *vm;
     const char *data_centre;
     const char *address; /* where others link to it */
-    const char *shunned; /* relay that it could not reach; NULL: none */
+    const char *shunned; /* relay that it found unreachable; NULL: none */
     uint32_t fitness;    /* share of a core, in thousandths */
-    uint32_t members;    /* linked to it */
-    bool leaving;        /* it should relay to nobody */
+    uint32_t members;    /* gateways that are linked to it */
+    bool leaving;        /* it should not be a relay */
 } RlPeer;
 
-/* PEERS[WHICH] is to link to the relay at ADDRESS. */
+/* PEERS[WHICH] should link to the relay at ADDRESS. */
 typedef void (*RlMove)(void *ctx, size_t which, const char *address);
 
+/* Calls MOVE for each peer whose link should move from the leader to a relay.
+   PEERS: all gateways linked to the leader. */
 void rl_plan(const RlParams *params, const RlPeer *peers, size_t count,
              RlMove move, void *ctx);
 
