--- a/tests/script_rl.c
+++ b/tests/script_rl.c
@@ -1,8 +1,9 @@
-/* The plan of relays for gateways that the script names.  One event a line:
+/* Runs the plan of relays (rl) for the gateways of a script.  One command a
+   line:
 
-     params DIRECT MEMBERS MOVES   first
-     peer VM DATA_CENTRE FITNESS MEMBERS [leaving] [shuns VM]
-     plan                          prints who goes where, sorted */
+     params DIRECT MEMBERS MOVES   as RlParams; begins a scenario
+     peer VM DATA_CENTRE FITNESS MEMBERS [leaving] [unreachable RELAY]
+     plan                          prints the moves of VMs to relays, sorted */
 #include "rl.h"
 #include "script.h"
 
@@ -11,8 +12,8 @@
 
 typedef struct {
     RlParams params;
-    GArray *peers; /* RlPeer */
-    GPtrArray *moves;
+    GArray *peers;    /* RlPeer */
+    GPtrArray *moves; /* char *, the last plan, a line each */
 } Script;
 
 static void
@@ -25,7 +26,7 @@
                 .members = (uint32_t)strtoul(words[4], NULL, 10)};
     for (int i = 5; i < count; i++) {
         p.leaving = p.leaving || strcmp(words[i], "leaving") == 0;
-        if (strcmp(words[i], "shuns") == 0 && i + 1 < count) {
+        if (strcmp(words[i], "unreachable") == 0 && i + 1 < count) {
             p.shunned = g_strdup(words[i + 1]);
         }
     }
--- a/tests/script_wl.c
+++ b/tests/script_wl.c
@@ -1,22 +1,26 @@
-/* A fleet of gateways in virtual time, with the core of limits in each: links,
-   relays and delays as on the platform.  One command a line:
+/* Simulates the limits of workspaces (wl) over a fleet of gateways in virtual
+   time, with links, relays and delays as on the platform.  One command a line:
 
-     fleet VMS DATA_CENTRES     relays where there are more than 24 VMs
-     bound WINDOW_MS EXCESS SLACK
+     fleet VMS DATA_CENTRES     begins a scenario; there are relays if VMS is
+                                more than 24
+     bound WINDOW_MS EXCESS SLACK              as WlParams
      workspace NAME RATE BURST
-     load NAME PER_S COST FROM_S TO_S [VMS]    callers at so many VMs only
-     limit NAME RATE BURST AT_S                another configuration
-     cut DATA_CENTRE FROM_S TO_S               from all others
-     kill placing|all|DATA_CENTRE AT_S DOWN_S
-     slow MS FROM_S TO_S                       all frames take so long more
-     way sums|shares|home       who decides: the core; equal shares of VMs;
-                                one VM for each workspace, asked each time
+     load NAME PER_S COST FROM_S TO_S [VMS]    requests, at the first VMS only
+     limit NAME RATE BURST AT_S                changes a workspace's limit
+     cut DATA_CENTRE FROM_S TO_S               disconnects it from the others
+     kill leader|all|DATA_CENTRE AT_S DOWN_S
+     slow MS FROM_S TO_S                       adds MS to the delay of frames
+     policy aggregate|shares|home
+                                what admits requests: wl; an equal share for
+                                each VM; one VM for each workspace, asked for
+                                each request
      run SECONDS SEED           prints a line for each workspace:
        asked        requests
-       in           part of them that was let in
-       below        refused though a single bucket would have let them in,
-                    in a thousand of those that it would
-       worst        most that ran in a window, of what the bound allows */
+       in           fraction of them that was admitted
+       below        refused ones that a single bucket for the whole fleet
+                    would have admitted, per 1000 that it admits
+       worst        largest amount that ran in a window, over what the bound
+                    allows */
 #include "script.h"
 #include "wl.h"
 
@@ -25,20 +29,17 @@
 #include <stdlib.h>
 
 #define DIRECT_VMS 24
-#define HOP_MS 4    /* of a frame, at most twice as much */
-#define LINK_MS 300 /* to link to another VM */
-#define TAKE_OVER_MS                                                          \
-    2300 /* a placing VM that is lost, until the next places */
-#define LEASE_READ_MS                                                         \
-    200                /* a new process reads who places, and of how many     \
-                        */
-#define SETTLE_MS 4000 /* before the first request */
+#define HOP_MS 4    /* least delay of a frame; the greatest is twice as much */
+#define LINK_MS 300 /* to open a link to another VM */
+#define FAILOVER_MS 2300  /* from the loss of the leader to the next one */
+#define LEASE_READ_MS 200 /* until a new process has read the lease */
+#define SETTLE_MS 4000    /* of a run before the first request */
 #define TICK_MS 100
-#define CALM_MS 200
-#define FRAMES_MS 2048 /* of the ring of frames under way */
-#define NOBODY (-1)
+#define CALM_TICK_MS 200
+#define FRAMES_MS 2048 /* longest delay of a frame, and size of the ring */
+#define NO_VM (-1)
 
-typedef enum { WAY_SUMS, WAY_SHARES, WAY_HOME } Way;
+typedef enum { POLICY_AGGREGATE, POLICY_SHARES, POLICY_HOME } Policy;
 
 typedef struct {
     double rate;
@@ -55,11 +56,13 @@
 typedef struct {
     char *name;
     GArray *limits; /* Limit, by time */
-    GArray *runs;   /* Run: all that was asked for */
+    GArray *runs;   /* Run: all requests */
+    /* a single bucket for the whole fleet, for comparison */
     double ideal_level;
     uint64_t ideal_ms;
-    uint32_t below; /* refused, though within */
-    uint32_t within;
+    uint32_t within; /* requests that the ideal bucket admits */
+    uint32_t below;  /* of these, refused */
+    /* bucket of POLICY_HOME */
     double home_level;
     uint64_t home_ms;
 } Workspace;
@@ -75,7 +78,7 @@
 } Load;
 
 typedef enum { FAULT_CUT, FAULT_KILL, FAULT_SLOW } FaultKind;
-typedef enum { WHO_PLACING = -2, WHO_ALL = -1 } Who;
+typedef enum { WHO_LEADER = -2, WHO_ALL = -1 } Who;
 
 typedef struct {
     FaultKind kind;
@@ -90,28 +93,29 @@
     Wl *limits;
     int data_centre;
     uint64_t down_until_ms;
-    int target; /* that it links to; NOBODY */
+    int target; /* VM that it links to, or NO_VM */
     uint64_t linked_ms;
     uint64_t tick_ms;
-    uint64_t spent_ms;
-    uint64_t told_ms;
+    uint64_t reported_ms;
+    uint64_t published_ms;
     uint64_t started_ms;
-    double *share_levels; /* WAY_SHARES and fallback of WAY_HOME */
+    /* by workspace, for POLICY_SHARES, and POLICY_HOME if home is down */
+    double *share_levels;
     uint64_t *share_ms;
 } Vm;
 
 typedef struct {
     int from;
     int to;
-    bool is_spent;
-    uint64_t told_ms; /* when its levels left who sums */
+    bool is_report;
+    uint64_t published_ms; /* when the root published its levels */
     double share;
     GArray *spent;  /* WlSpent */
     GArray *levels; /* WlLevel */
 } Frame;
 
 typedef struct {
-    Way way;
+    Policy policy;
     int vms;
     int data_centres;
     WlParams bound;
@@ -122,19 +126,19 @@
     BgRandom rng;
     uint64_t now_ms;
     Vm *fleet;
-    int placing;
-    int sums_still; /* placed before, and still sums; NOBODY */
-    uint64_t lost_ms;
+    int leader;
+    int former_leader;          /* cut off, still aggregates; or NO_VM */
+    uint64_t lost_ms;           /* when the last leader was lost */
     GPtrArray *ring[FRAMES_MS]; /* Frame */
     DepConfig *config;
 } Sim;
 
-/* ---- the world ---------------------------------------------------------- */
+/* ---- the fleet ---------------------------------------------------------- */
 
 static bool
 is_up(const Sim *s, int vm)
 {
-    return vm != NOBODY && s->fleet[vm].down_until_ms <= s->now_ms;
+    return vm != NO_VM && s->fleet[vm].down_until_ms <= s->now_ms;
 }
 
 static bool
@@ -162,42 +166,42 @@
 get_relay(const Sim *s, int data_centre)
 {
     for (int i = 0; s->vms > DIRECT_VMS && i < s->vms; i++) {
-        if (s->fleet[i].data_centre == data_centre && i != s->placing &&
+        if (s->fleet[i].data_centre == data_centre && i != s->leader &&
             is_up(s, i)) {
             return i;
         }
     }
-    return NOBODY;
+    return NO_VM;
 }
 
 static int
 find_target(const Sim *s, int vm)
 {
     int relay = get_relay(s, s->fleet[vm].data_centre);
-    if (vm == s->placing || vm == s->sums_still) {
-        return NOBODY;
+    if (vm == s->leader || vm == s->former_leader) {
+        return NO_VM;
     }
-    if (relay != NOBODY && relay != vm) {
+    if (relay != NO_VM && relay != vm) {
         return relay;
     }
-    if (is_up(s, s->placing) && reaches(s, vm, s->placing)) {
-        return s->placing;
+    if (is_up(s, s->leader) && reaches(s, vm, s->leader)) {
+        return s->leader;
     }
-    if (is_up(s, s->sums_still) && reaches(s, vm, s->sums_still)) {
-        return s->sums_still;
+    if (is_up(s, s->former_leader) && reaches(s, vm, s->former_leader)) {
+        return s->former_leader;
     }
-    return NOBODY;
+    return NO_VM;
 }
 
 static bool
 is_linked(const Sim *s, int vm)
 {
     const Vm *v = &s->fleet[vm];
-    return is_up(s, vm) && v->target != NOBODY && is_up(s, v->target) &&
+    return is_up(s, vm) && v->target != NO_VM && is_up(s, v->target) &&
            reaches(s, vm, v->target) && s->now_ms >= v->linked_ms;
 }
 
-/* Those linked to VM, and to these. */
+/* Counts the VMs that are linked to VM, directly or through others. */
 static uint32_t
 count_linked(const Sim *s, int vm)
 {
@@ -221,7 +225,7 @@
     p.seed = bg_next_random(&s->rng);
     v->limits = wl_create(&p);
     wl_on_config(v->limits, s->config);
-    v->target = NOBODY;
+    v->target = NO_VM;
     v->started_ms = s->now_ms;
     v->tick_ms = s->now_ms + bg_pick_random(&s->rng, TICK_MS);
     for (guint i = 0; i < s->workspaces->len; i++) {
@@ -242,7 +246,7 @@
 {
     for (int i = 0; i < s->vms; i++) {
         bool hit = f->who == WHO_ALL ||
-                   (f->who == WHO_PLACING && i == s->placing) ||
+                   (f->who == WHO_LEADER && i == s->leader) ||
                    f->who == s->fleet[i].data_centre;
         if (hit) {
             kill_vm(s, i, f->to_ms);
@@ -273,22 +277,22 @@
 static void
 follow_lease(Sim *s)
 {
-    if (s->placing != NOBODY && !holds_lease(s, s->placing)) {
-        s->sums_still = is_up(s, s->placing) ? s->placing : NOBODY;
-        s->placing = NOBODY;
+    if (s->leader != NO_VM && !holds_lease(s, s->leader)) {
+        s->former_leader = is_up(s, s->leader) ? s->leader : NO_VM;
+        s->leader = NO_VM;
         s->lost_ms = s->now_ms;
     }
-    for (int i = 0; s->placing == NOBODY && i < s->vms &&
-                    s->now_ms >= s->lost_ms + TAKE_OVER_MS;
+    for (int i = 0; s->leader == NO_VM && i < s->vms &&
+                    s->now_ms >= s->lost_ms + FAILOVER_MS;
          i++) {
         if (holds_lease(s, i)) {
-            s->placing = i;
+            s->leader = i;
         }
     }
-    if (s->placing == s->sums_still ||
-        (s->sums_still != NOBODY && s->placing != NOBODY &&
-         reaches(s, s->placing, s->sums_still))) {
-        s->sums_still = NOBODY;
+    if (s->leader == s->former_leader ||
+        (s->former_leader != NO_VM && s->leader != NO_VM &&
+         reaches(s, s->leader, s->former_leader))) {
+        s->former_leader = NO_VM;
     }
 }
 
@@ -296,7 +300,7 @@
 follow_links(Sim *s)
 {
     for (int i = 0; i < s->vms; i++) {
-        int target = is_up(s, i) ? find_target(s, i) : NOBODY;
+        int target = is_up(s, i) ? find_target(s, i) : NO_VM;
         if (target != s->fleet[i].target) {
             s->fleet[i].target = target;
             s->fleet[i].linked_ms = s->now_ms + LINK_MS;
@@ -335,8 +339,9 @@
     if (!reaches(s, f->from, f->to)) {
         return;
     }
-    uint64_t way_ms = HOP_MS + bg_pick_random(&s->rng, HOP_MS);
-    uint64_t at_ms = s->now_ms + MIN(way_ms + get_slow_ms(s), FRAMES_MS - 1);
+    uint64_t latency_ms = HOP_MS + bg_pick_random(&s->rng, HOP_MS);
+    uint64_t at_ms =
+        s->now_ms + MIN(latency_ms + get_slow_ms(s), FRAMES_MS - 1);
     Frame *copy = g_memdup2(f, sizeof(*f));
     copy->spent = g_array_copy(f->spent);
     copy->levels = g_array_copy(f->levels);
@@ -356,7 +361,7 @@
 }
 
 static void
-take_frame(Sim *s, const Frame *f)
+deliver_frame(Sim *s, const Frame *f)
 {
     Vm *v = &s->fleet[f->to];
     if (!is_up(s, f->to)) {
@@ -366,8 +371,8 @@
         wl_on_spent(v->limits, s->now_ms,
                     &g_array_index(f->spent, WlSpent, i));
     }
-    if (!f->is_spent && v->target == f->from) {
-        wl_on_levels(v->limits, s->now_ms, f->told_ms, f->share,
+    if (!f->is_report && v->target == f->from) {
+        wl_on_levels(v->limits, s->now_ms, f->published_ms, f->share,
                      (const WlLevel *)f->levels->data, f->levels->len);
         Frame down = *f;
         down.from = f->to;
@@ -376,18 +381,19 @@
 }
 
 static void
-take_frames(Sim *s)
+deliver_frames(Sim *s)
 {
     GPtrArray *due = s->ring[s->now_ms % FRAMES_MS];
     for (guint i = 0; i < due->len; i++) {
-        take_frame(s, due->pdata[i]);
+        deliver_frame(s, due->pdata[i]);
     }
     g_ptr_array_set_size(due, 0);
 }
 
-/* Names outlive what a core tells them by. */
+/* The workspace's own name: unlike the visitor's argument it outlives the
+   frame. */
 static const char *
-keep_name(const Sim *s, const char *name)
+intern_name(const Sim *s, const char *name)
 {
     for (guint i = 0; i < s->workspaces->len; i++) {
         const Workspace *w = s->workspaces->pdata[i];
@@ -401,23 +407,23 @@
 typedef struct {
     const Sim *sim;
     Frame *frame;
-} Filling;
+} FrameBuilder;
 
 static void
 add_spent(void *ctx, const WlSpent *spent)
 {
-    Filling *f = ctx;
+    FrameBuilder *f = ctx;
     WlSpent row = *spent;
-    row.workspace = keep_name(f->sim, spent->workspace);
+    row.workspace = intern_name(f->sim, spent->workspace);
     g_array_append_val(f->frame->spent, row);
 }
 
 static void
 add_level(void *ctx, const WlLevel *level)
 {
-    Filling *f = ctx;
+    FrameBuilder *f = ctx;
     WlLevel row = *level;
-    row.workspace = keep_name(f->sim, level->workspace);
+    row.workspace = intern_name(f->sim, level->workspace);
     g_array_append_val(f->frame->levels, row);
 }
 
@@ -428,27 +434,27 @@
     Frame f = {.from = vm,
                .spent = g_array_new(FALSE, FALSE, sizeof(WlSpent)),
                .levels = g_array_new(FALSE, FALSE, sizeof(WlLevel))};
-    Filling filling = {s, &f};
-    uint64_t pause_ms = wl_is_near_limit(v->limits) ? TICK_MS : CALM_MS;
-    if (s->now_ms >= v->spent_ms + pause_ms && is_linked(s, vm)) {
-        v->spent_ms = s->now_ms;
+    FrameBuilder builder = {s, &f};
+    uint64_t pause_ms = wl_is_near_limit(v->limits) ? TICK_MS : CALM_TICK_MS;
+    if (s->now_ms >= v->reported_ms + pause_ms && is_linked(s, vm)) {
+        v->reported_ms = s->now_ms;
         f.to = v->target;
-        f.is_spent = true;
-        wl_collect_spent(v->limits, add_spent, &filling);
+        f.is_report = true;
+        wl_collect_spent(v->limits, add_spent, &builder);
         send_frame(s, &f);
         g_array_set_size(f.spent, 0);
     }
-    if (s->now_ms >= v->told_ms + pause_ms) {
-        v->told_ms = s->now_ms;
-        bool told_fleet = s->now_ms > v->started_ms + LEASE_READ_MS;
-        wl_on_fleet(v->limits, s->now_ms, vm == s->placing,
+    if (s->now_ms >= v->published_ms + pause_ms) {
+        v->published_ms = s->now_ms;
+        bool knows_fleet = s->now_ms > v->started_ms + LEASE_READ_MS;
+        wl_on_fleet(v->limits, s->now_ms, vm == s->leader,
                     count_linked(s, vm) + 1,
-                    told_fleet ? (uint32_t)s->vms : 0);
+                    knows_fleet ? (uint32_t)s->vms : 0);
         if (wl_publishes(v->limits, s->now_ms)) {
-            f.is_spent = false;
-            f.told_ms = s->now_ms;
+            f.is_report = false;
+            f.published_ms = s->now_ms;
             f.share =
-                wl_visit_levels(v->limits, s->now_ms, add_level, &filling);
+                wl_visit_levels(v->limits, s->now_ms, add_level, &builder);
             send_down(s, &f);
         }
     }
@@ -481,8 +487,8 @@
 }
 
 static bool
-pour(double *level, uint64_t *at_ms, uint64_t now_ms, double rate,
-     double capacity, double cost)
+take_from_bucket(double *level, uint64_t *at_ms, uint64_t now_ms, double rate,
+                 double capacity, double cost)
 {
     *level = MIN(*level + rate * (double)(now_ms - *at_ms) / 1000., capacity);
     *at_ms = now_ms;
@@ -495,8 +501,9 @@
 take_share(Sim *s, int vm, int workspace, const Limit *l, double cost)
 {
     Vm *v = &s->fleet[vm];
-    return pour(&v->share_levels[workspace], &v->share_ms[workspace],
-                s->now_ms, l->rate / s->vms, l->burst / s->vms, cost);
+    return take_from_bucket(&v->share_levels[workspace],
+                            &v->share_ms[workspace], s->now_ms,
+                            l->rate / s->vms, l->burst / s->vms, cost);
 }
 
 static bool
@@ -507,8 +514,8 @@
     if (!is_up(s, home) || !reaches(s, vm, home)) {
         return take_share(s, vm, workspace, l, cost);
     }
-    return pour(&w->home_level, &w->home_ms, s->now_ms, l->rate, l->burst,
-                cost);
+    return take_from_bucket(&w->home_level, &w->home_ms, s->now_ms, l->rate,
+                            l->burst, cost);
 }
 
 static bool
@@ -516,10 +523,10 @@
 {
     Workspace *w = s->workspaces->pdata[workspace];
     const Limit *l = get_limit(s, w);
-    if (s->way == WAY_SHARES) {
+    if (s->policy == POLICY_SHARES) {
         return take_share(s, vm, workspace, l, cost);
     }
-    if (s->way == WAY_HOME) {
+    if (s->policy == POLICY_HOME) {
         return take_at_home(s, vm, workspace, w, l, cost);
     }
     WlRefusal why;
@@ -537,8 +544,8 @@
     }
     Workspace *w = s->workspaces->pdata[load->workspace];
     const Limit *l = get_limit(s, w);
-    bool within = pour(&w->ideal_level, &w->ideal_ms, s->now_ms, l->rate,
-                       l->burst, load->cost);
+    bool within = take_from_bucket(&w->ideal_level, &w->ideal_ms, s->now_ms,
+                                   l->rate, l->burst, load->cost);
     Run run = {s->now_ms, load->cost,
                take(s, vm, load->workspace, load->cost)};
     w->within += within;
@@ -566,7 +573,7 @@
 static double
 get_allowed(const Sim *s, const Workspace *w, uint64_t from_ms)
 {
-    double most = 0;
+    double max_amount = 0;
     for (guint i = 0; i < w->limits->len; i++) {
         const Limit *l = &g_array_index(w->limits, Limit, i);
         bool past = i + 1 < w->limits->len &&
@@ -576,10 +583,10 @@
         bool later = l->from_ms > from_ms + s->bound.window_ms;
         double rated = l->rate * s->bound.window_ms / 1000. + l->burst;
         if (!past && !later) {
-            most = MAX(most, rated);
+            max_amount = MAX(max_amount, rated);
         }
     }
-    return most * (1 + s->bound.excess) + s->bound.slack;
+    return max_amount * (1 + s->bound.excess) + s->bound.slack;
 }
 
 static double
@@ -653,8 +660,8 @@
 {
     bg_seed_random(&s->rng, seed);
     s->now_ms = 1;
-    s->placing = NOBODY;
-    s->sums_still = NOBODY;
+    s->leader = NO_VM;
+    s->former_leader = NO_VM;
     s->lost_ms = 0;
     use_config(s);
     s->fleet = g_new0(Vm, s->vms);
@@ -706,7 +713,7 @@
         follow_config(s);
         follow_lease(s);
         follow_links(s);
-        take_frames(s);
+        deliver_frames(s);
         tick_fleet(s);
         offer_loads(s);
     }
@@ -765,15 +772,15 @@
 read_kill(Sim *s, char **words)
 {
     Fault f = {.kind = FAULT_KILL, .from_ms = read_time(words[2])};
-    f.who = strcmp(words[1], "placing") == 0 ? WHO_PLACING
-            : strcmp(words[1], "all") == 0   ? WHO_ALL
-                                             : atoi(words[1]);
+    f.who = strcmp(words[1], "leader") == 0 ? WHO_LEADER
+            : strcmp(words[1], "all") == 0  ? WHO_ALL
+                                            : atoi(words[1]);
     f.to_ms = f.from_ms + (uint64_t)(atof(words[3]) * 1000);
     g_array_append_val(s->faults, f);
 }
 
 static void
-forget_all(Sim *s)
+clear_scenario(Sim *s)
 {
     for (guint i = 0; i < s->workspaces->len; i++) {
         Workspace *w = s->workspaces->pdata[i];
@@ -785,7 +792,7 @@
     g_ptr_array_set_size(s->workspaces, 0);
     g_array_set_size(s->loads, 0);
     g_array_set_size(s->faults, 0);
-    s->way = WAY_SUMS;
+    s->policy = POLICY_AGGREGATE;
 }
 
 static bool
@@ -793,7 +800,7 @@
 {
     Sim *s = ctx;
     if (strcmp(words[0], "fleet") == 0 && count == 3) {
-        forget_all(s);
+        clear_scenario(s);
         s->vms = atoi(words[1]);
         s->data_centres = atoi(words[2]);
     }
@@ -829,10 +836,10 @@
                    false};
         g_array_append_val(s->faults, f);
     }
-    else if (strcmp(words[0], "way") == 0 && count == 2) {
-        s->way = strcmp(words[1], "shares") == 0 ? WAY_SHARES
-                 : strcmp(words[1], "home") == 0 ? WAY_HOME
-                                                 : WAY_SUMS;
+    else if (strcmp(words[0], "policy") == 0 && count == 2) {
+        s->policy = strcmp(words[1], "shares") == 0 ? POLICY_SHARES
+                    : strcmp(words[1], "home") == 0 ? POLICY_HOME
+                                                    : POLICY_AGGREGATE;
     }
     else if (strcmp(words[0], "run") == 0 && count == 3) {
         run(s, (uint64_t)(atof(words[1]) * 1000),
@@ -851,7 +858,7 @@
              .loads = g_array_new(FALSE, TRUE, sizeof(Load)),
              .faults = g_array_new(FALSE, TRUE, sizeof(Fault))};
     int status = script_run(run_line, &s);
-    forget_all(&s);
+    clear_scenario(&s);
     dep_unref_config(s.config);
     return status;
 }
--- a/tests/test_fuzz_wl.py
+++ b/tests/test_fuzz_wl.py
@@ -37,7 +37,7 @@
                 at + r.uniform(3, 14)))
     at = 2.0
     while at < 24 and r.random() < 0.8:
-        kind = r.choice(["cut", "placing", "all", "centre"])
+        kind = r.choice(["cut", "leader", "all", "centre"])
         if kind == "cut":
             length = r.uniform(2, 7)
             lines.append("cut %d %.1f %.1f" % (
