--- a/src/wl.c
+++ b/src/wl.c
@@ -82,11 +82,10 @@
 
 struct Wl {
     WlParams params;
-    DepConfig *config;    /* NULL: none yet */
-    bool has_limits;      /* of any workspace */
-    GHashTable *accounts; /* workspace -> Account */
-    uint64_t
-        published_ms; /* when the last levels received were sent; 0: none */
+    DepConfig *config;      /* NULL: none yet */
+    bool has_limits;        /* of any workspace */
+    GHashTable *accounts;   /* workspace -> Account */
+    uint64_t published_ms;  /* when the last levels were sent; 0: none yet */
     double published_share; /* part of the fleet's limit that they are for */
     bool is_root;           /* aggregates for the whole fleet */
     uint32_t group_size;    /* gateways aggregated here, including this one */
--- a/tests/script_wl.c
+++ b/tests/script_wl.c
@@ -60,8 +60,8 @@
     /* a single bucket for the whole fleet, for comparison */
     double ideal_level;
     uint64_t ideal_ms;
+    uint32_t below;  /* requests refused that the ideal bucket admits */
     uint32_t within; /* requests that the ideal bucket admits */
-    uint32_t below;  /* of these, refused */
     /* bucket of POLICY_HOME */
     double home_level;
     uint64_t home_ms;
