--- a/src/rb.h
+++ b/src/rb.h
@@ -1,6 +1,7 @@
-/* rb: the retry budget.  In any window, the retries that a service receives
-   from all gateways together must not exceed a ratio of its requests plus a
-   fixed slack.  Gateways don't coordinate: each keeps to the ratio of its own
+/* rb: the retry budget.  A retry is any arrival of a request at its service
+   after the first.  In any window, the retries that a service receives from
+   all gateways together must not exceed a ratio of its requests plus a fixed
+   slack.  Gateways don't coordinate: each keeps to the ratio of its own
    requests and an equal part of the slack.
 
    No threads, I/O or clock. */
--- a/src/rl.h
+++ b/src/rl.h
@@ -18,9 +18,9 @@
 
 typedef struct {
     uint32_t direct;  /* links that the leader serves without relays */
-    uint32_t members; /* most members of one relay */
-    uint32_t moves; /* most new members of one relay by one plan: each is sent
-                       the full state */
+    uint32_t members; /* maximum of one relay */
+    uint32_t moves;   /* maximum of new members of one relay in a plan: each is
+                         sent the full state */
 } RlParams;
 
 /* A gateway that is linked to the leader. */
