--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -1,6 +1,9 @@
-"""Stand-ins for the users' platform, by its published protocol: the store (a
-log over HTTP) and the engines.  They run in the test's own process, so that a
-test can look into them and make them fail."""
+"""Stand-ins for the users' platform, which speak its published protocol: the
+store (topics of records over HTTP), engines and application servers.
+
+They run on threads of the test's process.  Tests read their fields (requests,
+orders, calls) and set others to inject faults (mode, on_request, drop_*).
+"""
 
 import base64
 import json
@@ -12,7 +15,7 @@
 
 
 class App:
-    """One HTTP server on a thread of its own."""
+    """An HTTP server on its own thread; subclasses define handle()."""
 
     def __init__(self, port):
         self.port = port
@@ -30,6 +33,7 @@
         self.server.server_close()
 
 
+# Written by the platform only: /log-append refuses them with 403.
 TOPICS = {"op": "keyed.op", "servers": "keyed.servers"}
 
 
@@ -39,18 +43,24 @@
 
 
 class Store(App):
-    """Topics of one partition each."""
+    """The platform's store: topics, each a log of keyed records.
+
+    put() and put_config() write as the platform does.
+    """
 
     def __init__(self, port):
         super().__init__(port)
-        self.topics = {}   # name -> list of (key, value or None)
-        self.first = {}    # name -> first offset kept
+        self.topics = {}   # topic -> list of (key, value or None)
+        self.first = {}    # topic -> lowest offset that can be read
         self.changed = threading.Condition(self.lock)
         self.calls = 0
         self.call_counts = {}   # "PATH TOPIC" -> calls
-        self.mode = "up"   # up, busy (503), silent
-        self.drop_append_replies = 0  # done, but not answered
-        self.refused = set()   # holders whose appends get 503
+        # up; busy: 503; silent: the connection is closed without a response
+        # after 3 s.
+        self.mode = "up"
+        # Number of appends to carry out without a response.
+        self.drop_append_replies = 0
+        self.refused = set()   # not used
 
     def put(self, topic, key, value):
         with self.lock:
@@ -70,7 +80,7 @@
             return {k: v for k, v in found.items() if v[0] is not None}
 
     def compact(self, topic):
-        """Forget the history: readers behind the tail get 410."""
+        """Drops all records: readers of older offsets get 410."""
         with self.lock:
             self.first[topic] = len(self.topics.get(topic, []))
 
@@ -93,7 +103,7 @@
                  for k, (v, offset) in sorted(
                      self.newest(query["topic"]).items())
                  if k > query.get("after", "")]
-        page = items[:3]   # small pages, so that clients have to go on
+        page = items[:3]   # small, so that clients must read several pages
         h.reply(200, {"items": page, "has_more": len(items) > len(page),
                       "end": len(self.topics.get(query["topic"], []))})
 
@@ -144,13 +154,13 @@
 
 
 class StoreProxy(App):
-    """One gateway's way to the store, which can fail by itself."""
+    """One gateway's connection to the store, with faults of its own."""
 
     def __init__(self, port, store):
         self.store = store
         self.call_counts = {}   # "PATH TOPIC" -> calls
-        self.mode = "up"   # up, busy or silent
-        self.delay_s = 0   # of each answer
+        self.mode = "up"   # as in Store
+        self.delay_s = 0   # added to each call
         super().__init__(port)
 
     def handle(self, h, method, path, query, body):
@@ -167,7 +177,12 @@
 
 
 class Engine(App):
-    """A model engine, or with MODELS None a plain service's server."""
+    """A model engine, or an application server where MODELS is None.
+
+    It publishes its entry in topic keyed.servers, takes orders to load and
+    unload, and answers requests: an engine with a stream of EVENTS events, an
+    application server with JSON.
+    """
 
     def __init__(self, port, store, name, service="llm", models=None,
                  zone="z1"):
@@ -178,23 +193,27 @@
         self.memory_mb = 83000
         self.max_adapters = 8
         self.load_s = 0.05
-        self.sequence = 0       # orders accepted
+        self.sequence = 0       # number of orders accepted
         self.entries_published = 0
-        self.busy = False
+        self.busy = False       # a load is running
         self.born = int(time.time() * 1000)
         self.state = "ready"
-        self.overcommitted = None     # why, when an order overcommitted it
-        self.runs = []          # ids that ran
-        self.arrivals = []      # (id, time) of all that arrived
+        # "memory" or "adapters" once an order exceeded that limit.
+        self.overcommitted = None
+        self.runs = []          # ids of the requests that were run
+        self.arrivals = []      # (id, time) of all requests received
         self.orders = []        # (time, holder, token, op, model, adapter)
-        self.drop_order_replies = 0    # accepted, not answered
-        self.cancelled = []     # ids whose connection closed under the work
-        self.requests = []      # (headers, body) of what ran
+        # Number of orders to carry out without a response.
+        self.drop_order_replies = 0
+        # (id, time) of streams whose connection was closed before their end.
+        self.cancelled = []
+        # (method, path, headers, body) of the requests that were run.
+        self.requests = []
         # f(engine, handler, id), called for each request; True: it answered.
         self.on_request = None
-        self.events = 5
-        self.event_s = 0.01
-        self.work_s = 0.0
+        self.events = 5         # events in a stream
+        self.event_s = 0.01     # between two events
+        self.work_s = 0.0       # before an application server's answer
         super().__init__(port)
         self.publish_entry()
 
@@ -224,7 +243,7 @@
     def leave(self):
         self.store.put("keyed.servers", self.name, None)
 
-    # ---- calls
+    # ---- requests of gateways
 
     def handle(self, h, method, path, query, body):
         expected = h.headers.get("X-Expect-Instance")
@@ -303,6 +322,8 @@
                     {"X-Attempt-Id": rid, "X-Server-Stamp": "s-" + self.name})
 
     def stream(self, h, rid, stop_after=None, tear=False):
+        """Sends events from the one after Last-Event-Id on.  Closes the
+        connection before event STOP_AFTER; TEAR sends half of that event."""
         first = int(h.headers.get("Last-Event-Id") or -1) + 1
         h.start_stream({"X-Attempt-Id": rid,
                         "X-Server-Stamp": "s-" + self.name})
@@ -334,7 +355,7 @@
 
 
 def routes_with_public():
-    """The usual ones, and "open", which asks for no key."""
+    """The routes of config() and a public one, "open"."""
     return config(1)["routes"] + [
         route("open", "app", "idempotent", public=True)]
 
--- a/tests/platform_cluster.py
+++ b/tests/platform_cluster.py
@@ -1,4 +1,9 @@
-"""Real gateways before stand-ins of the platform, on loopback."""
+"""Runs real gateways against stand-ins of the platform, on loopback.
+
+Cluster starts a store, application servers, engines and gateways; ask() sends
+a request through one gateway.  Faults are set on the stand-ins (see
+fake_platform), on proxies (StoreProxy, FaultProxy) or by signals.
+"""
 
 import http.client
 import json
@@ -13,11 +18,13 @@
 from fake_platform import Engine, Store, StoreProxy, config
 
 HERE = os.path.dirname(os.path.abspath(__file__))
-LEASE_GUARD_MS = 600   # the platform's rest between holders, in these tests
+# Least time between the orders of two lease holders (setting lease_ms, which
+# these tests shorten).
+LEASE_GUARD_MS = 600
 
 
 class FaultProxy:
-    """A fault proxy before one address."""
+    """Runs fault_proxy.py in front of TARGET; connect to its address."""
 
     def __init__(self, target):
         self.port, control = free_port(), free_port()
@@ -35,6 +42,7 @@
                 time.sleep(0.05)
 
     def set(self, **faults):
+        """Sets FAULTS and clears all others."""
         base = {"delay_ms": 0, "cut": False, "freeze": False, "one_way": "",
                 "rate": 0}
         self.control.sendall(json.dumps(dict(base, **faults)).encode() +
@@ -47,6 +55,8 @@
 
 
 class Gateway:
+    """A gateway process with its settings file, log and ports."""
+
     def __init__(self, build, store, name, grace_s=8, extra=""):
         self.name = name
         self.front, self.ready, self.control, self.link = (
@@ -74,7 +84,7 @@
         self.proc = None
 
     def add_setting(self, key, value):
-        """Of section [gateway]; before it is started."""
+        """Adds a setting to section [gateway]; call it before start()."""
         with open(self.settings, encoding="utf-8") as f:
             text = f.read()
         with open(self.settings, "w", encoding="utf-8") as f:
@@ -89,6 +99,7 @@
         return self
 
     def events(self, event=None):
+        """Log records of kind EVENT, or all."""
         found = []
         with open(self.log_path, encoding="utf-8") as f:
             for line in f:
@@ -130,7 +141,10 @@
 
 def ask(gateway, route, model=None, body=b"x", deadline_ms=4000, headers=None,
         method="POST", conn=None, host="app.example", rid=None, path=None):
-    """One request; returns (status, headers, body, id)."""
+    """Sends one request to GATEWAY; returns (status, headers, body, id).
+
+    A body that ends too early comes back with "INCOMPLETE " before it.
+    """
     rid = rid or "%016x" % next(_ids)
     head = {"Host": host, "X-Attempt-Id": rid,
             "X-Deadline-Ms": str(deadline_ms)}
@@ -151,7 +165,15 @@
 
 
 class Cluster:
-    """STORE, two plain servers, two engines and GATEWAYS."""
+    """A store, APPS application servers, an engine for each entry of MODELS
+    (the models that it has loaded) and GATEWAYS gateways.
+
+    store_proxies: each gateway reaches the store through a StoreProxy.
+    link_proxies: links to each gateway go through a FaultProxy.
+    first_config: the store holds a configuration, and all gateways are ready
+    on return.
+    extra: text added to the gateways' settings.
+    """
 
     def __init__(self, build, gateways=1, models=(("m0",), ("m1",)),
                  first_config=True, store_proxies=False, extra="", apps=2,
@@ -181,24 +203,25 @@
         if first_config:
             for g in self.gateways:
                 wait_until(g.is_ready, what="readiness")
-            # In its first window a gateway spends little on repeats.
+            # The retry budget is small in a gateway's first window
+            # (retry_window_s).
             time.sleep(max(0, started + 1.1 - time.monotonic()))
 
     def leader(self):
-        """The gateway that places, once one does."""
+        """Waits for a gateway to hold the lease for placement; returns it."""
         def find():
             for g in self.gateways:
                 if g.proc.poll() is None and g.dump()["places"]:
                     return g
             return None
-        return wait_until(find, what="a placing gateway")
+        return wait_until(find, what="a leader")
 
     def all_linked(self):
         return all(d["places"] or d["linked"]
                    for d in (g.dump() for g in self.gateways))
 
     def put_in_force(self, doc):
-        """A configuration, on all gateways that run."""
+        """Writes configuration DOC and waits for all running gateways."""
         self.store.put_config(doc)
         wait_until(lambda: all(g.dump()["config"] == doc["version"]
                                for g in self.gateways
@@ -224,7 +247,7 @@
 
 
 def event_ids(data):
-    """Ids of the events of a stream, in order."""
+    """Event ids of a stream, in order."""
     return [int(line[4:]) for line in data.decode().splitlines()
             if line.startswith("id: ")]
 
