--- a/tests/fake_engine.py
+++ b/tests/fake_engine.py
@@ -1,25 +1,24 @@
 """Stand-in for a model engine.
 
-Answers the OpenAI-style API for the models it has loaded and takes orders
-under /control.  The answer to a prompt is fixed: a word with the prompt's
-digest, then "t0 t1 ...", then "end", so that a test knows a whole answer
-of its own when it sees one.  A prompt with the word given by --die-word
-ends the process.
+Serves the OpenAI-style API for the models that are loaded and takes orders
+under /control.  The answer to a prompt is fixed: a digest of the prompt, then
+"t0 t1 ...", then "end", so that a test can check that an answer is complete
+and belongs to its prompt.  A prompt that contains --die-word ends the process.
 
 POST /control/load {model, memory_mb, fence, load_id, base, load_ms} -> 202;
-     409 {"error": "fence"} for an old number (--fencing checked).
+     409 {"error": "fence"} for an outdated fence (--fencing checked).
 POST /control/unload {model, fence} -> 200, 409 while in use.
 POST /control/fence {fence} -> 200 with a report made after it.
 POST /control/role {role, fence}.
-GET  /control/report (--report-lag-ms old).
-GET  /control/audit: the truth at this moment, for tests.
-GET  /control/cache_events?from=N: late and with gaps.
+GET  /control/report: state as it was --report-lag-ms ago.
+GET  /control/audit: current state and counters, for tests.
+GET  /control/cache_events?from=N: delayed, and some events are missing.
 PUT  /test/faults {stall_loads, fail_loads, cut_stream_after, cut_streams,
      short_answers, cross_answers, silent, leaving, token_ms, refuse_new,
      report_lag_ms, tiers}.
-     cut_streams: how many streams are cut; short_answers: how many answers
-     end before their Content-Length; cross_answers: how many carry the
-     previous call's answer and X-Attempt-Id.
+     cut_streams: number of streams to cut; short_answers: number of answers
+     that end before their Content-Length; cross_answers: number of answers
+     that repeat the previous call's answer and X-Attempt-Id.
 """
 
 import hashlib
@@ -69,7 +68,7 @@
     # ---- orders --------------------------------------------------------
 
     def check_fence(self, order):
-        """False when the order is older than one already taken."""
+        """False if a newer fence was accepted before."""
         if self.args.fencing == "ignored":
             return True
         if order.get("fence", 0) < self.fence:
@@ -233,15 +232,17 @@
                 self.in_use[name] -= 1
 
     def die(self, h):
-        """A process that dies on a busy machine closes its sockets one after
-        the other: for a moment its port still takes connections."""
+        """Ends the process.  On a busy machine its sockets are closed one
+        after the other, so its port accepts connections for a moment longer
+        (--die-slowly-ms)."""
         self.dying = True
         h.connection.shutdown(2)
         time.sleep(self.args.die_slowly_ms / 1000)
         os._exit(1)
 
     def wait_token(self, h):
-        """Raises Cancelled once the caller has closed its connection."""
+        """Waits for one token; raises Cancelled once the caller has closed
+        its connection."""
         time.sleep(self.faults["token_ms"] / 1000)
         self.check_caller(h)
         while self.faults["silent"]:
@@ -260,7 +261,7 @@
             raise Cancelled from e
 
     def take_fault(self, name):
-        """True as often as the fault says."""
+        """True if fault NAME has a count left, which it reduces by one."""
         with self.lock:
             if self.faults[name] <= 0:
                 return False
--- a/tests/fake_service.py
+++ b/tests/fake_service.py
@@ -1,9 +1,11 @@
-"""Stand-in for a plain service: runs every request it gets and counts
-each run by X-Run-Id, the caller's own mark.
+"""Stand-in for a plain service: runs every request and counts the runs of
+each X-Run-Id, which the caller sets.
 
 PUT /test/faults takes {"delay_ms", "drop_answers", "short_answers",
-"die_after_run", "refuse_new" (turn away, and report nothing of it)}.
-GET /test/runs -> {mark: runs}.  GET /test/peak -> most runs at once, calls turned away.
+"die_after_run", "refuse_new" (refuse with 503, but don't report leaving)}.
+PUT /test/leave: refuse with 503 and report leaving.
+GET /test/runs -> {run id: runs}.
+GET /test/peak -> maximum of concurrent runs, number of refused calls.
 """
 
 import json
--- a/tests/fake_store.py
+++ b/tests/fake_store.py
@@ -1,6 +1,8 @@
-"""Stand-in for the weight store: GET /v1/fetch?model=M&ms=T answers after
-T ms at full speed.  About 3 fetches a second start; 4 run at full speed,
-more share that speed.  PUT /test/faults takes {"slow_factor"}.
+"""Stand-in for the weight store.
+
+GET /v1/fetch?model=M&ms=T answers after T ms at full speed.  --rate fetches
+start per second.  Up to --full-speed of them run at full speed; more share
+its bandwidth.  PUT /test/faults takes {"slow_factor"}.
 """
 
 import json
--- a/tests/fake_vms.py
+++ b/tests/fake_vms.py
@@ -1,8 +1,8 @@
-"""Stand-in for the platform's lagging list of VMs.
+"""Stand-in for the platform's list of VMs, which lags behind.
 
 GET /v1/vms -> {"vms": [{"id", "data_centre", "deployment", "address",
 "state": "live"|"leaving"}]}.  PUT /test/vms replaces the list; readers see
-it --lag-ms later.
+the new one after --lag-ms.
 """
 
 import json
--- a/tests/fault_proxy.py
+++ b/tests/fault_proxy.py
@@ -1,18 +1,22 @@
-"""A fault-injecting TCP proxy: --port to --target, told what to do by
-lines on --control-port ("PUT /test/faults {...}").
-
-Faults: delay_ms; cut (refuse new, close old); freeze (keep connections
-open and move nothing); freeze_old (only connections open now go silent);
-one_way ("up" or "down": bytes in that direction vanish); drop_after_up
-(close after that many upward bytes went through and before any answer);
-hold_text with hold_ms (upward bytes with that text are held for so long);
-rate (bytes a second that each connection carries; 0: any).
+"""A TCP proxy from --port to --target that injects faults.
+
+Each line on --control-port is a JSON object of faults to set; the reply is
+"ok".  "up" is the direction from the client to the target.
+
+delay_ms       delay of each piece of data
+cut            close all connections and refuse new ones
+freeze         keep connections open but forward nothing
+freeze_old     the same for the connections that are open now
+one_way        "up" or "down": discard the data in that direction
+drop_after_up  close a connection once that many bytes went up (one time)
+hold_text      delay data that goes up and contains this text by hold_ms
+rate           bytes per second and direction of each connection; 0: no limit
 """
 
 import asyncio
 import json
 
-import standin  # noqa: F401  (same folder; keeps one argument style)
+import standin
 
 
 class Proxy:
@@ -27,7 +31,7 @@
         self.count = 0
 
     def get_chunk_bytes(self):
-        """A twentieth of a second's bytes."""
+        """Size of a read: 50 ms of data at the set rate."""
         return self.faults["rate"] // 20 or 65536
 
     def is_frozen(self, conn_id):
@@ -62,7 +66,7 @@
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            # Closing one side silently would hide a truncated answer.
+            # Closing one side only would hide that an answer was cut off.
             for w in self.open.get(conn_id, ()):
                 w.close()
 
@@ -75,7 +79,7 @@
         except OSError:
             writer.close()
             return
-        if self.faults["cut"]:  # cut while this was being connected
+        if self.faults["cut"]:  # set while connecting to the target
             writer.close()
             up_writer.close()
             return
--- a/tests/standin.py
+++ b/tests/standin.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a small threaded JSON-over-HTTP server."""
+"""Threaded JSON-over-HTTP server that all stand-ins are built on."""
 
 import argparse
 import json
@@ -16,7 +16,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Calls app.handle(handler, method, path, query, body)."""
+    """Calls app.handle(handler, method, path, query, body) per request."""
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -48,7 +48,7 @@
         self.wfile.write(data)
 
     def reply_short(self, status, doc):
-        """Half of the answer, under the whole one's Content-Length."""
+        """Sends half of the body with the full Content-Length and closes."""
         data = json.dumps(doc).encode()
         self.send_response(status)
         self.send_header("Content-Type", "application/json")
