--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway before stand-ins of the platform: requests and answers."""
+"""Gateways and stand-ins of the platform: requests and responses."""
 
 import http.client
 import json
@@ -18,6 +18,7 @@
 
 @pytest.fixture(name="one", scope="module")
 def fixture_one(build):
+    """A cluster with one gateway, shared by the tests of this module."""
     with Cluster(build) as c:
         c.leader()
         yield c
@@ -25,7 +26,7 @@
 
 @pytest.fixture(autouse=True)
 def fixture_reset(request):
-    """Each test leaves the shared stand-ins as it found them."""
+    """Resets the shared stand-ins after each test."""
     yield
     if "one" in request.fixturenames:
         c = request.getfixturevalue("one")
@@ -37,7 +38,8 @@
 
 
 def ask_raw(gateway, request, wait_s=2.0):
-    """All bytes that come back until the gateway closes or is quiet."""
+    """Sends REQUEST; returns all bytes received until the gateway closes the
+    connection or sends nothing for WAIT_S."""
     s = socket.create_connection(("127.0.0.1", gateway.front))
     s.settimeout(wait_s)
     s.sendall(request)
@@ -55,12 +57,14 @@
 
 
 def ran_on(c, rid):
+    """Names of the servers and engines that ran request RID."""
     return [e.name for e in c.apps + c.engines for r in e.runs if r == rid]
 
 
 def test_answer_unchanged(one):
-    """Method, path, query, body and own headers reach the server as sent, and
-    its status, stamp and body come back as they are."""
+    """Method, path, query, body and end-to-end headers reach the server
+    unchanged, and so do its status, stamp and body the caller.  Hop-by-hop
+    headers and internal ones of the caller are dropped."""
     status, head, data, rid = ask(one.gateways[0], "read", body=b"abc",
                                   headers={"X-Own": "1", "X-Hold": "evil",
                                            "Connection": "X-Drop",
@@ -113,9 +117,9 @@
 
 
 def test_not_repeated_when_it_may_have_run(one):
-    """The caller of a charge sees 502, not "refused".
-    The server runs it and breaks off before its answer.
-    Nobody can tell that it ran, so nothing is sent a second time."""
+    """A server runs a charge and closes the connection without a response.
+    The request may have run, so it is not sent again, and the caller gets 502
+    rather than a status that means "not run"."""
     def break_off(_engine, h, _rid):
         h.close_connection = True
         return True
@@ -127,7 +131,7 @@
 
 
 def test_repeatable_goes_to_another(one):
-    """A lookup whose server breaks off is answered by another server."""
+    """A lookup whose server closes without a response goes to another."""
     one.apps[0].on_request = one.apps[1].on_request = None
     failed = []
 
@@ -144,7 +148,8 @@
 
 
 def test_server_error_is_passed_on(one):
-    """A server's 500 to a charge comes back with its stamp and body."""
+    """A server's 500 response to a charge is passed on with its stamp and
+    body."""
     def fail(engine, h, rid):
         h.reply(500, {"why": "no"}, {"X-Attempt-Id": rid,
                                      "X-Server-Stamp": "s-" + engine.name})
@@ -157,8 +162,8 @@
 
 
 def test_shed_goes_to_another(one):
-    """A server that is full and says that it ran nothing costs the caller
-    nothing while another is free, also for a charge."""
+    """A server that refuses as not run (X-Not-Executed) is replaced by
+    another one, even for a charge."""
     def shed(engine, h, rid):
         engine.runs.remove(rid)
         h.reply(503, {}, {"X-Attempt-Id": rid, "X-Not-Executed": "1"})
@@ -169,8 +174,8 @@
 
 
 def test_extra_answer_is_nobodys(one):
-    """A server sends a second answer after the first.  It must not be taken
-    for the answer of the next request on that connection."""
+    """A server sends a second response after the first.  It must not become
+    the response to the next request on that connection."""
     def twice(_engine, h, rid):
         h.reply(200, {"id": rid}, {"X-Attempt-Id": rid})
         h.wfile.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n"
@@ -185,7 +190,8 @@
 
 
 def test_answer_without_length(one):
-    """An answer that ends with its connection is whole for the caller."""
+    """A response that is delimited by the end of its connection is passed on
+    complete."""
     def unframed(_engine, h, rid):
         h.wfile.write(b"HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\n\r\nall of it"
                       % rid.encode())
@@ -217,9 +223,9 @@
 
 
 def test_stream_resumes_after_last_whole_event(one, build):
-    """The caller of a resumable stream sees every event once.
-    The engine breaks off in the middle of event 3.
-    Another goes on after event 2; the torn half is never shown."""
+    """An engine closes a resumable stream in the middle of event 3.  Another
+    one resumes it after event 2.  The caller gets each event once and nothing
+    of the partial one."""
     with Cluster(build, models=(("m0",), ("m0",))) as c:
         broken = []
 
@@ -239,9 +245,9 @@
 
 
 def test_stream_goes_on_where_it_broke(build):
-    """One engine holds the model.  It breaks off a resumable stream, and is
-    well: the caller was told that nobody else could go on, and lost what it had
-    waited for.  The engine itself goes on behind the last whole event."""
+    """The only engine with the model closes a resumable stream and stays
+    healthy.  The stream failed as no other engine could resume it; it must be
+    resumed by the same engine, after the last complete event."""
     with Cluster(build, models=(("m0",),)) as c:
         torn = []
 
@@ -259,7 +265,8 @@
 
 
 def test_broken_stream_is_not_shown_as_whole(one):
-    """A stream that may run once ends visibly cut when its engine dies."""
+    """A stream that must not run twice ends incomplete for the caller when its
+    engine closes it early."""
     def tear(engine, h, rid):
         engine.stream(h, rid, stop_after=2)
         return True
@@ -271,9 +278,9 @@
 
 
 def test_failure_after_a_kept_failure(build):
-    """The first engine fails a stream with 500, which is kept while a second
-    one is tried.  That one breaks off in the middle of its events.  The caller
-    sees a stream that is visibly cut, not the kept 500 inside of it."""
+    """The first engine answers a stream with 500, which is kept while a second
+    engine is tried.  The second closes its stream in the middle.  The caller
+    must get an incomplete stream, without the kept 500 inside it."""
     with Cluster(build, models=(("m0",), ("m0",))) as c:
         seen = []
 
@@ -296,8 +303,8 @@
 
 
 def test_caller_gone_ends_the_work(one):
-    """The caller closes in the middle of a long stream.
-    The engine's connection is closed within half a second."""
+    """The caller closes its connection in the middle of a long stream.  The
+    engine's connection is closed within 0.5 s."""
     for e in one.engines:
         e.events, e.event_s = 200, 0.02
     s = socket.create_connection(("127.0.0.1", one.gateways[0].front))
@@ -313,8 +320,7 @@
 
 
 def test_deadline_gets_an_answer(one):
-    """A charge whose server is too slow is answered with 504 in time, and its
-    server was told how long it may take."""
+    """A charge whose server is too slow gets 504 before its deadline."""
     for e in one.apps:
         e.work_s = 2.0
     status, _, _, rid = ask(one.gateways[0], "pay", deadline_ms=600)
@@ -325,8 +331,8 @@
 
 
 def test_cold_model_is_loaded_once(one):
-    """Six callers ask for a model that nobody holds: one load is ordered, and
-    all are answered."""
+    """Six callers request a model that no engine has loaded: one load is
+    ordered, and all callers are served."""
     before = sum(len(e.orders) for e in one.engines)
     out = []
     threads = [threading.Thread(
@@ -344,9 +350,9 @@
 
 
 def test_adapters_stay_within_their_slots(one):
-    """Twelve adapters on engines with eight places each: every caller is
-    answered, and no engine is ordered over its places (checked at the end of
-    the cluster)."""
+    """Twelve adapters on engines with eight adapter slots each: every caller
+    is served, and no order exceeds an engine's slots (checked when the cluster
+    stops)."""
     for i in range(24):
         assert ask(one.gateways[0], "chat", "m0/a%d" % (i % 12))[0] == 200
 
@@ -358,7 +364,8 @@
 
 
 def test_smuggled_request_is_refused(one):
-    """Two framings in one request: nothing of it reaches a server."""
+    """A request with both Content-Length and Transfer-Encoding: no part of it
+    reaches a server."""
     s = socket.create_connection(("127.0.0.1", one.gateways[0].front))
     s.sendall(b"POST /pay/x HTTP/1.1\r\nHost: app.example\r\n"
               b"X-Attempt-Id: outer\r\nContent-Length: 60\r\n"
@@ -372,8 +379,8 @@
 
 
 def test_silent_server_is_left_for_another(one):
-    """A lookup's server takes the request and says nothing: another answers
-    well before the deadline."""
+    """A server accepts a lookup and sends no response: another server answers
+    it well before the deadline."""
     stuck = []
 
     def hang(engine, _h, rid):
@@ -390,9 +397,9 @@
 
 
 def test_deadly_request_is_stopped(build):
-    """A request under which engines end comes again and again.
-    Each engine breaks off under it, one after the other.
-    After three of them it is refused before it reaches another."""
+    """A request that kills engines is sent repeatedly.  Each engine closes its
+    connection on it.  After it has failed on three engines it is refused
+    before it reaches another."""
     with Cluster(build, models=(("m0",),) * 5) as c:
         def die(_engine, h, _rid):
             h.close_connection = True
@@ -426,7 +433,7 @@
 
 
 def test_blocked_log_does_not_stop_serving(build):
-    """Nobody reads standard output: requests are served all the same."""
+    """Requests are served while nobody reads standard output."""
     with Cluster(build) as c:
         g = Gateway(build, c.store, "vm9")
         out_r, out_w = os.pipe()
@@ -444,8 +451,9 @@
 
 
 def test_stop_cuts_nothing(build):
-    """A stop signal comes while a stream runs.  Readiness goes off at once,
-    the stream ends whole, and the process is gone within its grace time."""
+    """SIGTERM arrives while a stream runs: the gateway becomes unready at
+    once, the stream completes, and the process exits within its grace
+    period."""
     with Cluster(build) as c:
         g = c.gateways[0]
         for e in c.engines:
@@ -470,7 +478,8 @@
 
 
 def test_settings_change_without_a_signal(one):
-    """The file is replaced, once by a good one and once by a bad one."""
+    """The settings file changes, first to a valid one, then to an invalid
+    one."""
     g = one.gateways[0]
     before = len(g.events("reload"))
     with open(g.settings, "a", encoding="utf-8") as f:
@@ -495,8 +504,9 @@
 
 
 def test_early_answer_to_a_long_body(one):
-    """A server refuses a long body before it has read it.  The caller gets
-    that answer, and the rest of the body goes to nobody else."""
+    """A server responds to a long body before it has read all of it.  The
+    caller gets that response, and the rest of the body does not become part
+    of another request."""
     port = free_port()
     with socket.socket() as s:
         s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
