--- a/tests/test_gateway_settings.py
+++ b/tests/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway, as templates of the platform may fill them in."""
+"""Settings of the gateway, as the platform's templates may fill them in."""
 
 import os
 import random
@@ -35,8 +35,8 @@
 
 
 def test_bounds_in_every_form(build, tmp_path):
-    """Guards against a process that does not start as a bound has a fraction
-    or is left empty."""
+    """Guards against a gateway that does not start because a bound is a
+    fraction or empty."""
     rng = random.Random(SEED)
     forms = [lambda: str(rng.randint(1, 600)),
              lambda: "%r" % rng.uniform(0.05, 600),
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -1,5 +1,5 @@
-"""Gateways and the platform's store: configuration, upstreams, the lease,
-outages, mail where links are cut."""
+"""Gateways and the platform's store: configuration, upstreams, the lease of
+the leader, outages, and messages left in the store where links are cut."""
 
 import json
 import signal
@@ -19,8 +19,8 @@
 
 
 def test_no_configuration_is_503_not_404(build):
-    """A gateway that knows no configuration refuses as not run and isn't
-    ready; it serves as soon as one is written."""
+    """A gateway without a configuration is not ready and refuses requests as
+    not run (503); it serves as soon as a configuration is written."""
     with Cluster(build, first_config=False) as c:
         g = c.gateways[0]
         wait_until(lambda: g.events("store-reached"))
@@ -32,7 +32,8 @@
 
 
 def ask_at_start(gateway):
-    """Status of a request that comes as soon as GATEWAY takes connections."""
+    """Starts GATEWAY; returns the status of a request sent as soon as it
+    accepts connections."""
     gateway.start()
 
     def try_request():
@@ -44,8 +45,8 @@
 
 
 def test_start_keeps_its_first_callers(build):
-    """Guards against callers that are turned away, and come back once, while
-    all gateways start together: they wait for the first configuration."""
+    """Guards against refused callers, who retry only once, while all gateways
+    start together: requests wait for the first configuration."""
     with Cluster(build, store_proxies=True) as c:
         c.gateways[0].stop()
         c.store_proxies[0].delay_s = 0.1
@@ -53,8 +54,8 @@
 
 
 def test_start_serves_from_the_first_page(build):
-    """Guards against callers that are turned away while a long list of
-    upstreams comes in pages: what the first ones name is used."""
+    """Guards against refused callers while a long list of upstreams is read in
+    pages: upstreams of the first pages are used before the last is read."""
     with Cluster(build, store_proxies=True, models=(("m0",),) * 13) as c:
         c.gateways[0].stop()
         c.store_proxies[0].delay_s = 0.08
@@ -63,7 +64,8 @@
 
 
 def test_start_that_takes_long_refuses(build):
-    """Guards against callers that are held by a process that can't serve."""
+    """Guards against callers that wait long for a gateway that can't serve, as
+    the store does not answer it."""
     with Cluster(build, store_proxies=True) as c:
         c.gateways[0].stop()
         c.store_proxies[0].mode = "silent"
@@ -77,9 +79,9 @@
 
 
 def test_start_without_the_store(build):
-    """The store is away when a gateway starts: it takes the configuration and
-    the upstreams from another one, serves by them, and follows the store as
-    soon as that is back."""
+    """A gateway starts while the store is unreachable: it gets configuration
+    and upstreams from another gateway and serves with them.  Once the store is
+    back it follows the store."""
     with Cluster(build, gateways=2) as c:
         first = c.leader()
         other = [g for g in c.gateways if g is not first][0]
@@ -100,9 +102,10 @@
 
 
 def test_loads_are_published_through_an_outage(build):
-    """Guards against gateways that see only their own requests, and crowd one
-    engine, while the store is away for all and nobody may place: the VM that
-    placed last goes on telling what runs where, and gives no order."""
+    """Guards against gateways that know only the load of their own requests,
+    and overload an engine, while the store is unreachable for all and no VM
+    holds the lease: the last leader goes on publishing the load of upstreams,
+    and gives no orders."""
     with Cluster(build, gateways=3, models=(("m0",),), apps=1) as c:
         leader = c.leader()
         wait_until(c.all_linked, what="links")
@@ -127,7 +130,7 @@
             t.join()
         c.store.mode = "up"
         wait_until(lambda: any(g.dump()["places"] for g in c.gateways),
-                   limit_s=6, what="a placing gateway")
+                   limit_s=6, what="a leader")
 
 
 def test_newest_configuration_in_force_and_never_an_older(build):
@@ -143,9 +146,9 @@
 
 
 def test_configuration_after_a_silent_outage(build):
-    """The store says nothing for seconds and is back: a configuration written
-    then is in force within two seconds also at a gateway that seldom asks,
-    because it is linked to the placing one."""
+    """The store does not answer for 5 s.  A configuration written after that
+    is in force within 2 s, also at a follower, which seldom polls the store as
+    it is linked to the leader."""
     with Cluster(build, gateways=2) as c:
         c.leader()
         wait_until(c.all_linked)
@@ -168,7 +171,7 @@
 
 
 def test_serving_goes_on_without_the_store(build):
-    """The store is down for seconds: callers see nothing of it, and what was
+    """Requests are served while the store is unreachable, and a configuration
     written meanwhile is in force soon after its return."""
     with Cluster(build, gateways=2) as c:
         c.leader()
@@ -188,8 +191,8 @@
 
 
 def test_leaving_upstream_gets_nothing_more(build):
-    """An upstream says that it leaves; two seconds later at most nothing is
-    sent to it, by the placing gateway and by others."""
+    """No gateway, leader or follower, sends anything to an upstream later than
+    2 s after it has announced that it drains."""
     with Cluster(build, gateways=2) as c:
         c.leader()
         c.apps[0].drain()
@@ -202,7 +205,7 @@
 
 
 def test_foreign_entries_harm_nobody(build):
-    """Entries that can't be read, or that miss fields, name no upstream."""
+    """Entries that are malformed or lack fields are ignored."""
     with Cluster(build) as c:
         good = c.apps[0].entry()
         for i, bad in enumerate([
@@ -218,9 +221,9 @@
 
 
 def test_reused_address(build):
-    """An upstream is gone and its address serves another service: the request
-    names the upstream that it is meant for and is turned away unrun, and the
-    caller is answered by another."""
+    """The address of an upstream is reused by another.  Requests name the
+    upstream that they are meant for (X-Expect-Instance), so they are refused
+    there as not run, and another upstream answers."""
     with Cluster(build) as c:
         c.apps[0].name = "other"
         for _ in range(8):
@@ -229,8 +232,8 @@
 
 
 def test_same_id_born_again_is_empty(build):
-    """An engine starts again under its id and holds nothing: callers of its
-    model are served after one more load, not sent there in vain."""
+    """An engine restarts under the same id with no model loaded: callers of
+    its model are served after one more load, and get no error from it."""
     with Cluster(build, models=(("m0",),)) as c:
         c.leader()
         assert ask(c.gateways[0], "chat", "m0")[0] == 200
@@ -243,7 +246,8 @@
 
 
 def check_one_holder(c):
-    """Orders of two VMs never come within the rest, and tokens only rise."""
+    """Checks that orders of two VMs are a guard interval apart, and that the
+    fencing token rises with each change of leader."""
     last = None
     for at, holder, token, *_ in all_orders(c):
         if last and holder != last[1]:
@@ -253,7 +257,8 @@
 
 
 def request_cold_models(c, gateway, until_s):
-    """Callers of models that keep being moved, so that orders go on."""
+    """Requests changing models and adapters for UNTIL_S, so that the leader
+    keeps giving orders."""
     until = now() + until_s
     n = 0
     while now() < until:
@@ -262,8 +267,9 @@
 
 
 def test_one_holder_through_a_kill(build):
-    """The placing VM is killed while orders go on.  Another takes over, with
-    a higher token and no sooner than the rest after the last order."""
+    """The leader is killed while it gives orders.  The next leader has a
+    higher token, and gives no order within the guard interval after the last
+    order."""
     with Cluster(build, gateways=3) as c:
         first = c.leader()
         wait_until(c.all_linked)
@@ -279,8 +285,8 @@
 
 
 def test_one_holder_through_a_freeze(build):
-    """The placing VM stands still for longer than its lease and wakes: it
-    orders nothing more until it holds the lease again."""
+    """The leader is paused for longer than its lease and resumed: it gives no
+    order until it holds the lease again."""
     with Cluster(build, gateways=3) as c:
         first = c.leader()
         wait_until(c.all_linked)
@@ -295,8 +301,8 @@
 
 
 def test_lost_acknowledgements_of_the_lease(build):
-    """Renewals are done and not answered: the holder finds them in the topic,
-    and nobody else thinks that it holds."""
+    """The store appends renewals of the lease without a response: the leader
+    finds them in the topic and keeps the lease, and no other VM takes it."""
     with Cluster(build, gateways=2) as c:
         first = c.leader()
         wait_until(c.all_linked)
@@ -309,9 +315,10 @@
 
 @pytest.mark.parametrize("mode", ["busy", "silent"])
 def test_leader_renews_through_linked_gateways(build, mode):
-    """The store turns the placing VM away, or does not answer it, and serves
-    the others; its links are good.  It goes on holding the lease, and callers
-    of cold models wait for their load and for nothing else."""
+    """The store refuses the leader, or does not answer it, and serves the
+    followers, to which the leader is linked.  It renews the lease through
+    them, and requests for models that are not loaded wait for the load only.
+    """
     with Cluster(build, gateways=3, store_proxies=True) as c:
         first = c.leader()
         wait_until(c.all_linked)
@@ -334,8 +341,9 @@
 
 
 def test_claim_goes_before_a_relayed_renewal(build):
-    """The placing VM loses the store and its links at once: what others were
-    asked to append for it comes too late, and it orders nothing any more."""
+    """The leader loses the store and then, when it is paused, its links.
+    Renewals that followers append for it come too late, and it gives no order
+    beside the next leader."""
     with Cluster(build, gateways=3, store_proxies=True) as c:
         first = c.leader()
         wait_until(c.all_linked)
@@ -352,9 +360,9 @@
 
 
 def test_stopped_placer_places_to_its_end_and_again(build):
-    """The placing VM is stopped and started again.  It places until its
-    process ends, and the next process on that VM takes over within a second,
-    without the rest that another VM would need."""
+    """The leader is stopped and started again.  It places until its process
+    ends, and the next process on that VM takes over within 1 s, without the
+    guard interval that another VM must wait."""
     with Cluster(build, gateways=2) as c:
         first = c.leader()
         wait_until(c.all_linked)
@@ -373,8 +381,8 @@
 
 
 def test_placer_that_stays_away_is_succeeded(build):
-    """The placing VM is stopped for good: another takes over after the lease,
-    and orders after the rest."""
+    """The leader is stopped and not started again: another VM takes over once
+    the lease has expired, and gives orders after the guard interval."""
     with Cluster(build, gateways=2) as c:
         first = c.leader()
         wait_until(c.all_linked)
@@ -391,9 +399,10 @@
 
 
 def test_unanswered_orders_never_overcommit(build):
-    """Orders are carried out and not answered.  What may have been loaded is
-    counted until a report shows the truth: no engine is loaded over its
-    memory or places, and callers are served in the end."""
+    """Engines carry out orders without a response.  What may have been loaded
+    is counted until a report shows the state: no engine is ordered over its
+    memory or adapter slots (checked when the cluster stops), and callers are
+    served in the end."""
     with Cluster(build) as c:
         c.leader()
         for e in c.engines:
@@ -403,13 +412,13 @@
 
 
 def test_demand_reaches_the_placer_through_the_store(build):
-    """No link to the placing VM can be made, the store can be reached: what
-    callers wait for is loaded all the same."""
+    """A follower can't link to the leader but reaches the store: the models
+    that its callers wait for are loaded all the same."""
     with Cluster(build, gateways=2) as c:
         first = c.leader()
         wait_until(c.all_linked)
         other = [g for g in c.gateways if g is not first][0]
-        # The placer's link address in the lease is wrong from now on.
+        # From now on the lease names a wrong link address of the leader.
         other_name = other.name
         other.stop()
         with open(other.settings, encoding="utf-8") as f:
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -1,7 +1,8 @@
-"""Gateways behind relays: links, news, losses of relays and of the placing VM.
+"""Gateways behind relays: links, updates, loss of relays and of the leader.
 
-With one link allowed to the placing VM, one of five others relays, one stays
-as its spare, and three are members of the relay."""
+With one direct link to the leader allowed (direct = 1), one of the five
+followers is the relay, one is its spare, and three are members of the relay.
+"""
 
 import signal
 import time
@@ -14,12 +15,15 @@
 
 VMS = 6
 UPSTREAM_LIST_CALL = "/log-newest keyed.servers"
-MIN_START_WAIT_MS = 150   # the least patience of a process that starts
+# Least time for which a gateway that starts waits for updates from others
+# before it reads the store itself.
+MIN_START_WAIT_MS = 150
 RELAYS = "[relays]\ndirect = 1\n"
 
 
 @pytest.fixture(name="fleet")
 def fixture_fleet(build):
+    """VMS gateways with a relay; e0 has m0 loaded, e1 nothing."""
     with Cluster(build, gateways=VMS, models=(("m0",), ()),
                  extra=RELAYS) as c:
         wait_until(lambda: len(members(c)) == VMS - 3, what="relays")
@@ -49,7 +53,7 @@
 
 
 def all_serve(c, model, within_s=6):
-    """Each gateway serves MODEL, loaded or not."""
+    """Checks that each gateway serves MODEL, loaded or not, in time."""
     until = now() + within_s
     for g in c.gateways:
         if g.proc.poll() is not None:
@@ -61,8 +65,8 @@
 
 
 def check_updates_reach(c, names):
-    """A new route is in force at NAMES within 3 s, and they send nothing more to
-    an upstream that left 2.5 s ago."""
+    """Checks that a new route is in force at NAMES within 3 s, and that they
+    send nothing to an upstream later than 2.5 s after it has left."""
     routes = config(3)["routes"] + [route("late", "app", "idempotent")]
     c.store.put_config(config(7, routes))
     c.apps[0].leave()
@@ -79,7 +83,7 @@
 
 
 def test_few_link_to_the_leader(fleet):
-    """Guards against one VM that carries a link of every other."""
+    """Guards against a leader with a link to every other VM."""
     c = fleet
     leader = c.leader()
     assert leader.dump()["peers"] == 2
@@ -89,7 +93,7 @@
 
 
 def test_members_ask_the_store_for_nothing(fleet):
-    """Guards against calls to the store that grow with the fleet."""
+    """Guards against a load of the store that grows with the number of VMs."""
     c = fleet
     time.sleep(1.0)
     began, before = now(), dict(c.store.call_counts)
@@ -98,22 +102,22 @@
              if n > before.get(k, 0)}
     seconds = now() - began
     assert len(members(c)) == VMS - 3
-    # Of the placing VM alone, a second: four reads of upstreams, three
-    # renewals, a read of its mail and one of the configuration.
+    # Calls of the leader alone, per second: four reads of upstreams, three
+    # renewals, one read of its mailbox and one of the configuration.
     assert sum(calls.values()) <= seconds * 9 + 3, calls
 
 
 def test_updates_reach_members(fleet):
-    """Guards against members that are left behind: a new route, a leaving
-    upstream and a model that is loaded."""
+    """Guards against members that miss updates: a new route and an upstream
+    that leaves."""
     c = fleet
     check_updates_reach(c, members(c))
 
 
 @pytest.mark.parametrize("how", ["kill", "term", "freeze"])
 def test_lost_relay_is_replaced(fleet, how):
-    """Guards against members that stay without a relay: callers of models that
-    are held see nothing of it, a cold model is loaded after a moment."""
+    """Guards against members that stay without a relay.  Requests for a loaded
+    model are served all the time; another model is loaded within 8 s."""
     c = fleet
     relay = find_relay(c)
     others = [g for g in c.gateways if g is not relay]
@@ -133,9 +137,9 @@
 
 
 def test_relays_stay_while_the_placing_vm_is_lost(fleet):
-    """Guards against a whole fleet that asks the store and links anew when the
-    placing VM is lost: members stay with their relay, and another VM places
-    after the lease and the rest."""
+    """Guards against a fleet in which every VM calls the store and links anew
+    when the leader is lost: members stay with their relay, and another VM
+    becomes the leader after the lease and the guard interval."""
     c = fleet
     leader = c.leader()
     names = members(c)
@@ -154,8 +158,8 @@
 
 
 def test_starting_member_needs_little(fleet, build):
-    """Guards against starts that press the store: a process that comes to a
-    fleet takes what it needs from its relay."""
+    """Guards against starts that load the store: a gateway that joins a fleet
+    gets the upstreams from its relay."""
     c = fleet
     store_proxy = StoreProxy(free_port(), c.store)
     late = Gateway(build, store_proxy, "late", extra=RELAYS)
@@ -166,14 +170,14 @@
     wait_until(lambda: late.dump()["linked"], what="its link")
     started, linked = (late.events(what)[0]["up_ms"]
                        for what in ("started", "placer-linked"))
-    # One that nobody tells anything for so long asks the store itself.
+    # Without an update for this long a gateway reads the store itself.
     assert (UPSTREAM_LIST_CALL not in store_proxy.call_counts or
             linked > started + MIN_START_WAIT_MS)
 
 
 def test_start_without_the_store_behind_relays(fleet, build):
-    """Guards against a process that serves nothing as it starts while the
-    store is away and the gateway that it knows is no placing one."""
+    """Guards against a gateway that can't serve because it starts while the
+    store is unreachable and its seed is not the leader."""
     c = fleet
     seed = find(c, members(c))[0]
     c.store.mode = "busy"
@@ -187,8 +191,8 @@
 
 @pytest.mark.parametrize("extra", ["", RELAYS])
 def test_ready_before_the_first_upstream(build, extra):
-    """Guards against gateways that stay out of rotation as no upstream was
-    there yet when they linked."""
+    """Guards against gateways that stay unready because there was no upstream
+    yet when they linked."""
     with Cluster(build, gateways=3, models=(), apps=0, extra=extra) as c:
         wait_until(c.all_linked, what="links")
         late = Gateway(build, c.store, "late", extra=extra).start()
@@ -197,7 +201,7 @@
 
 
 def find_spare(c):
-    """Linked to the placing VM itself, with nobody linked to it."""
+    """A gateway that is linked to the leader and has no members."""
     for g in c.gateways:
         d = g.dump()
         if not d["places"] and not d["relay"] and d["peers"] == 0:
@@ -205,21 +209,21 @@
     return None
 
 
-@pytest.mark.parametrize("cut", ["placer", "relay", "both", "all but one"])
+@pytest.mark.parametrize("cut", ["leader", "relay", "both", "all but one"])
 def test_news_around_those_cut_from_the_store(build, cut):
     """Guards against members that keep an old configuration, and send to an
-    upstream that leaves, as the placing VM, their relay, both or all but one
-    can't reach the store."""
+    upstream that has left, while the leader, their relay, both, or all
+    gateways but one can't reach the store."""
     with Cluster(build, gateways=VMS, models=(("m0",), ()), store_proxies=True,
                  extra=RELAYS) as c:
         wait_until(lambda: len(members(c)) == VMS - 3, what="relays")
         names = members(c)
-        cut_off = {"placer": [c.leader()], "relay": [find_relay(c)],
+        cut_off = {"leader": [c.leader()], "relay": [find_relay(c)],
                    "both": [c.leader(), find_relay(c)],
                    "all but one": [g for g in c.gateways
                                    if g is not find_spare(c)]}[cut]
         if cut == "all but one":
-            time.sleep(3.5)  # what it read last is no beginning any more
+            time.sleep(3.5)  # the spare's last read is too old to be used
         for g in cut_off:
             c.store_proxies[c.gateways.index(g)].mode = "busy"
         time.sleep(0.5)
@@ -228,8 +232,8 @@
 
 def test_full_link_of_a_relay(build):
     """Guards against members that keep an old configuration, and send to an
-    upstream that left, as the link of their relay carries less than is sent:
-    they hear the placing VM at the usual pace, but what it said long ago."""
+    upstream that has left, because their relay's link carries less than is
+    sent: heartbeats of the leader arrive at the usual rate, but late."""
     with Cluster(build, gateways=VMS, models=(("m0",), ()), link_proxies=True,
                  extra=RELAYS) as c:
         wait_until(lambda: len(members(c)) == VMS - 3, what="relays")
@@ -241,9 +245,9 @@
 
 
 def test_placements_of_many_models_reach_members(build):
-    """Guards against members that lose count of what an upstream holds, as they
-    are told changes only: each of six models in turn is loaded, and its callers
-    at all gateways are served without one that meets another model."""
+    """Guards against members with a wrong state of an upstream's models, of
+    which they get deltas only: each of six models is loaded in turn, and each
+    gateway then serves it at the first request."""
     names = ["m%d" % i for i in range(6)]
     with Cluster(build, gateways=VMS, models=(("m0",), ("m1",), ()),
                  first_config=False, extra=RELAYS) as c:
