--- a/tests/platform_cluster.py
+++ b/tests/platform_cluster.py
@@ -217,6 +217,7 @@
         return wait_until(find, what="a leader")
 
     def all_linked(self):
+        """Whether each gateway is the leader or linked towards it."""
         return all(d["places"] or d["linked"]
                    for d in (g.dump() for g in self.gateways))
 
--- a/tests/test_gateway_state.py
+++ b/tests/test_gateway_state.py
@@ -15,6 +15,7 @@
 
 
 def all_orders(c):
+    """Orders received by all engines, in order of time."""
     return sorted(o for e in c.engines for o in e.orders)
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,5 +1,5 @@
-"""Upstreams that leave: no new work a few seconds after the first word of
-it, whoever says it, and nothing that comes later takes it back."""
+"""Upstreams that leave: they get no new work a few seconds after the first
+report of it, whatever its source, and later reports don't revoke it."""
 
 import json
 import time
@@ -12,12 +12,13 @@
 ROUTER = "dc1-vm1-router"
 LEAVER = "dc1-lm1"
 ENGINES = (LEAVER, "dc1-lm2")
+# From the first report that an upstream leaves until it gets no new work.
 NOTICE_S = 3.0
 
 
 @pytest.fixture(name="cluster")
 def make_cluster(build):
-    """Two engines, both with the model."""
+    """Two engines, both with the model loaded."""
     engines = [{"id": e, "centre": "dc1", "deployment": "parisankhyan-lm"}
                for e in ENGINES]
     settings = {"placer": {"placer": {"per_replica": 1}}}
@@ -55,7 +56,7 @@
 
 
 def count_new_work(c, name):
-    """Runs at the leaver and calls that it turned away, during calls."""
+    """Makes some calls; returns how many of them LEAVER ran or refused."""
     def count():
         return count_runs(c) + c.audit(LEAVER)["turned_away"]
     before = count()
@@ -64,14 +65,15 @@
 
 
 def test_both_engines_get_work(cluster):
-    """What the others rest on: without a word of leaving both are used."""
+    """Precondition of the other tests: both engines get work while none is
+    reported to leave."""
     assert 0 < count_new_work(cluster, "plain") < 12
 
 
 def test_vm_list_says_leaving(cluster):
-    """The platform's list calls the VM leaving.  A stream that it runs goes
-    on to its end; new work goes elsewhere, also after the list, which lags,
-    has called it live again."""
+    """The platform's list of VMs reports the VM as leaving.  Its running
+    streams complete and new work goes elsewhere, also after the list, which
+    lags, has reported it as live again."""
     cluster.set_faults(LEAVER, token_ms=50)
     cluster.set_faults(ENGINES[1], token_ms=50)
     with ThreadPoolExecutor(4) as pool:
@@ -94,28 +96,29 @@
 
 
 def test_report_says_leaving(cluster):
-    """Only the upstream's own report says that it leaves: it would take
-    work still, and the list calls it live all the time."""
+    """Only the upstream's own report says that it leaves: it still accepts
+    work, and the list of VMs reports it as live all the time."""
     cluster.set_faults(LEAVER, leaving=True)
     time.sleep(NOTICE_S)
     assert count_new_work(cluster, "after the report") == 0
 
 
 def test_upstream_turns_work_away(cluster):
-    """Its report lags and the list calls it live; the upstream itself turns
-    a request away.  That request is answered elsewhere and no other is
-    sent, also after the owner's next full state, which calls it live."""
+    """The upstream's report lags and the list of VMs says live, but the
+    upstream refuses a request as leaving.  That request is answered elsewhere
+    and no other is sent to it, also after the owner's next full state, which
+    says live."""
     cluster.set_faults(LEAVER, report_lag_ms=600000)
     cluster.set_faults(LEAVER, leaving=True, refuse_new=True)
-    assert count_new_work(cluster, "first word") == 1
-    time.sleep(6)  # the owner repeats its state every 5 s
+    assert count_new_work(cluster, "first call") == 1
+    time.sleep(6)  # the owner sends its full state every 5 s
     assert count_new_work(cluster, "later") == 0
 
 
 def test_peer_says_leaving(build):
-    """One of two routers is turned away by an upstream that leaves; list
-    and report call it live.  The other router hears it from the first and
-    sends nothing."""
+    """An upstream that leaves refuses a request of one of two routers; list
+    of VMs and report say live.  The first router reports this to the other,
+    which sends nothing to the upstream."""
     services = [{"id": "dc1-ledger%d" % i, "centre": "dc1",
                  "deployment": "sadasya-ledger"} for i in (1, 2)]
     with Cluster(build, centres=("dc1",), vms_per_centre=2,
@@ -137,7 +140,7 @@
         c.set_faults("dc1-ledger1", refuse_new=True)
         for i in range(12):
             ask(first, i)
-        wait_until(lambda: find(second)["leaving"], 3, "the peer's word")
+        wait_until(lambda: find(second)["leaving"], 3, "the peer's report")
         for i in range(12):
             ask(second, i)
         turned = c.call("dc1-ledger1", "GET", "/test/peak").json()
@@ -145,8 +148,8 @@
 
 
 def test_service_turns_work_away(build):
-    """A plain service says that it leaves: the call was not run there, so
-    it may be sent to the other one, once."""
+    """A plain service refuses a call as leaving.  It was not run there, so it
+    may be sent once to the other server."""
     services = [{"id": "dc1-ledger%d" % i, "centre": "dc1",
                  "deployment": "sadasya-ledger"} for i in (1, 2)]
     with Cluster(build, centres=("dc1",), vms_per_centre=1,
@@ -165,9 +168,9 @@
 
 
 def test_id_that_comes_back_is_a_new_upstream(cluster):
-    """A leaver ends and its id comes back under a new address: that is a
-    new upstream and gets work.  An old list that names the old address
-    again does not bring the leaver back."""
+    """An upstream that leaves ends, and its id comes back under a new address:
+    that is a new upstream and gets work.  An outdated list with the old
+    address does not bring the old one back."""
     cluster.set_faults(LEAVER, leaving=True)
     wait_until(lambda: next(u for u in list_upstreams(cluster)
                             if u["id"] == LEAVER)["leaving"], 5, "leaving")
--- a/tests/test_loads.py
+++ b/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Loads that die, stall or end with their upstream."""
+"""Loads that fail, stall or end with their upstream."""
 
 import signal
 import time
@@ -11,9 +11,9 @@
 
 
 def test_load_that_dies_is_decided_again(build):
-    """The engine takes the order, then the load dies: its report lacks the
-    model again.  That is one new decision, not two, and the caller, who
-    waits all the time, is answered."""
+    """An engine accepts the order and the load fails, so its report lacks the
+    model again.  The placer decides anew once, not twice, and the caller, who
+    waits all the time, is served."""
     with make_cluster(build, vms=2) as c:
         start(c)
         for name in engine_names(c):
@@ -27,9 +27,9 @@
 
 
 def test_loads_that_keep_dying_refuse_their_callers(build):
-    """Every load of the model dies.  The placer tries less and less often;
-    a caller that cannot be served in time is told so with Retry-After
-    before its deadline, as not run."""
+    """Every load of the model fails.  The placer retries at growing
+    intervals, and a caller that can't be served in time is refused as not run,
+    with Retry-After, before its deadline."""
     with make_cluster(build, vms=1) as c:
         start(c)
         for name in engine_names(c, "ign"):
@@ -44,9 +44,9 @@
 
 
 def test_engine_killed_in_a_load(build):
-    """An engine dies while it loads and comes back empty, with a new boot
-    id.  What was ordered in its former life is settled; the model is
-    loaded once more and its caller answered."""
+    """An engine is killed during a load and restarts empty, with a new boot
+    id.  Orders to the former process are settled; the model is loaded once
+    more and its caller served."""
     with make_cluster(build, vms=2) as c:
         start(c)
         for model, kind in (("fen-one", "fen"), ("ign-one", "ign")):
@@ -67,9 +67,9 @@
 
 
 def test_stalled_load_is_not_begun_elsewhere(build):
-    """A load stalls, as when the weight store hangs.  The same model is not
-    started on a second engine; its callers are refused at their deadlines
-    and later ones are served by the load that went on."""
+    """A load stalls, as when the weight store hangs.  The model is not loaded
+    on a second engine.  Its callers are refused at their deadlines, and later
+    ones are served once the load has completed."""
     with make_cluster(build, vms=1) as c:
         start(c)
         for name in engine_names(c, "fen"):
@@ -89,9 +89,9 @@
 
 
 def test_vm_that_is_gone_frees_its_replica(build):
-    """The VM of the only replica vanishes: it answers nothing and the
-    platform's list drops it.  After gone_ms the placer counts it no more
-    and loads the model elsewhere."""
+    """The VM of the only replica disappears: it answers nothing and is removed
+    from the platform's list.  After gone_ms the placer no longer counts its
+    replica and loads the model elsewhere."""
     with make_cluster(build, vms=1) as c:
         start(c)
         for model in ("fen-one", "ign-one"):
@@ -107,8 +107,8 @@
 
 
 def test_list_that_is_wrong_frees_nothing(build):
-    """The platform's list leaves out a VM that lives.  It answers its
-    reports, so its replica goes on counting: no second one is loaded."""
+    """The platform's list omits a VM that is alive.  The VM still reports, so
+    its replica counts and no second one is loaded."""
     with make_cluster(build, vms=1) as c:
         start(c)
         assert Ask(c, ROUTER, "ign-one").result().status == 200
@@ -126,10 +126,10 @@
 
 
 def test_frozen_vm_that_comes_back_is_counted_first(build):
-    """A VM freezes and is dropped from the list for so long that it is taken
-    for gone; its model is loaded elsewhere.  Then it comes back with the
-    replica still in memory.  The placer finds what no record counts, and
-    drops it before it places anything there."""
+    """A VM is paused and off the platform's list for so long that it is taken
+    for gone, and its model is loaded elsewhere.  Then it comes back with the
+    replica still in memory.  The placer finds the replica, which is in no
+    record, and unloads it before it places anything there."""
     with make_cluster(build, vms=1) as c:
         owner = start(c)
         assert Ask(c, ROUTER, "fen-one").result().status == 200
@@ -142,7 +142,7 @@
         c.procs[frozen].signal(signal.SIGCONT)
         c.set_vms(c.vms)
         wait_until(lambda: len(holders(c, "fen-one")) == 1, 15,
-                   "the second replica dropped")
+                   "the second replica unloaded")
         assert "fen-one" not in c.audit(frozen)["models"]
         assert Ask(c, ROUTER, "fen-two").result().status == 200
         assert wait_owner(c) == owner
@@ -150,11 +150,11 @@
 
 
 def test_replica_on_a_leaving_vm_moves(build):
-    """The VM of the only replica is leaving while a long answer runs on it
-    and callers keep coming.  No new work goes there, so they wait for a
-    replica that the ceiling forbids as long as the old one counts.  Once the
-    answer has ended, whole, the replica is dropped although its model is
-    wanted, and loaded elsewhere in time for every caller."""
+    """The VM of the only replica leaves while it runs a long answer and
+    callers keep coming.  No new work goes there, so they wait for a replica,
+    which the limit of one replica forbids as long as the old one counts.  Once
+    the answer is complete the replica is unloaded, although there is demand
+    for its model, and loaded elsewhere in time for every caller."""
     with make_cluster(build, vms=1) as c:
         start(c)
         assert Ask(c, ROUTER, "fen-one").result().status == 200
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: operator, log, router, placer, engine, caller."""
+"""End-to-end tests: operator, log, router, placer, engine, caller."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -92,10 +92,10 @@
 
 
 def test_burst_at_every_router_makes_one_load(build):
-    """200 callers ask for one cold model through all routers of a data
-    centre at once.  Each router would load it for itself; the owner merges
-    their wants into one decision, so the board-summary model, whose ceiling
-    is one replica, is loaded once and every caller gets a whole answer."""
+    """200 callers request a model that is not loaded through all routers of a
+    data centre at once.  The owner merges the demand of the routers into one
+    decision, so the board-summary model, which is limited to one replica, is
+    loaded once and every caller gets a complete answer."""
     with Cluster(build, centres=("dc1",), vms_per_centre=3) as c:
         c.publish_samples()
         wait_until(lambda: c.owner("dc1"), 15, "owner")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,5 +1,6 @@
-"""Links between the system's processes: who reads the log, who is fed, and
-what a stranger, a silent link or a full queue can do."""
+"""Links between routers and placers: which processes read the log and which
+get its records over a link, silent links, full queues, and strangers that
+connect."""
 
 import signal
 import socket
@@ -18,9 +19,9 @@
 
 
 def test_few_read_the_log(build):
-    """Five VMs, ten processes; two placers read the log and feed the rest.
-    Were it every process for itself, 800 would read it at the target
-    size."""
+    """Of the ten processes on five VMs, two placers read the log and pass it
+    on to the others.  If each process read it, there would be 800 readers at
+    the target size."""
     with make_cluster(build, vms=5) as c:
         version = publish(c, "t")
         c.wait_in_force(version)
@@ -34,8 +35,8 @@
 
 
 def test_one_bridge_carries_residency(build):
-    """A router links to the placers of its own data centre only; what is
-    loaded in the other one reaches it over a bridge."""
+    """A router links to the placers of its own data centre only; the models
+    loaded in the other data centre are reported to it over a bridge."""
     engine = {"id": "dc2-lm1", "centre": "dc2",
               "deployment": "parisankhyan-lm"}
     with make_cluster(build, ("dc1", "dc2"), engines=[engine]) as c:
@@ -50,9 +51,9 @@
 
 
 def test_silent_link_is_replaced(build):
-    """Something between a router and the placers forgets their connections:
-    nothing more comes through the old ones and no error is seen.  Silence
-    ends them; fresh ones carry the next version."""
+    """A device between the router and the placers drops their connections
+    without an error: nothing arrives over them any more.  They are closed for
+    silence, and the next version arrives over new ones."""
     c = make_cluster(build)
     for p in ("dc1-vm1-placer", "dc1-vm2-placer"):
         c.add_proxy(p + "-peer")
@@ -67,13 +68,13 @@
         wait_until(lambda: router.read_log().count("is up") >= 4, 15,
                    "fresh links")
         wait_until(lambda: c.dump("dc1-vm1-router")["log_hops"] == 2, 15,
-                   "fed again")
+                   "records over a link")
 
 
 def test_full_queue_drops_the_link_and_repairs(build):
-    """A router is paused while versions of many megabytes go out.  Its queue
-    at the placer is bounded: the link is dropped, and once the router runs
-    again it gets the whole state anew."""
+    """A router is paused while many megabytes of versions are published.  Its
+    queue at the placer is bounded, so the placer closes the link.  Once the
+    router runs again it gets the whole state."""
     long_silence = {"peers": {"silence_ms": "60000"}}
     c = make_cluster(build, vms=1, settings={"router": long_silence,
                                              "placer": long_silence})
@@ -82,7 +83,7 @@
         c.wait_in_force(version)
         router = c.procs["dc1-vm1-router"]
         wait_until(lambda: c.dump("dc1-vm1-router")["log_hops"] == 2, 15,
-                   "fed by the placer")
+                   "records from the placer")
         router.signal(signal.SIGSTOP)
         for i in range(20):
             version = revise(c, "t", version, priority=i % 9, padding=1400)
@@ -123,6 +124,8 @@
 
 
 class Stranger:
+    """A client that connects to a placer's link port without the key."""
+
     def __init__(self, port):
         self.sock = socket.create_connection(("127.0.0.1", port), 5)
         self.sock.settimeout(5)
@@ -166,8 +169,8 @@
 
 
 def test_reflected_handshake_is_refused(build):
-    """A stranger sends back whatever the process says.  Its own proof must
-    not pass for another's."""
+    """A stranger sends back every frame that it gets.  The placer must not
+    accept its own proof as that of a peer."""
     with make_cluster(build, vms=1) as c:
         s = Stranger(c.port("dc1-vm1-placer-peer"))
         try:
@@ -180,9 +183,8 @@
 
 
 def test_recorded_handshake_is_refused(build):
-    """Somebody on the way records what a router said when its link came up,
-    and later says the same, byte for byte.  The proof answers the challenge
-    of that link only."""
+    """A handshake of a router is captured and replayed later, byte for byte.
+    The proof is valid for the challenge of the first link only."""
     c = make_cluster(build, vms=1)
     listener = socket.create_server(("127.0.0.1", 0))
     c.addresses["dc1-vm1-placer-peer"] = "127.0.0.1:%d" % \
@@ -205,7 +207,7 @@
                 far = socket.create_connection(
                     ("127.0.0.1", c.port("dc1-vm1-placer-peer")), 5)
             except OSError:
-                continue  # the placer does not listen yet
+                continue  # the placer isn't listening yet
             for args in ((near, far, captured), (far, near, None)):
                 threading.Thread(target=pump, args=args, daemon=True).start()
     threading.Thread(target=run, daemon=True).start()
@@ -224,14 +226,14 @@
     listener.close()
 
 
-# ---- cut off --------------------------------------------------------------
+# ---- partitions -----------------------------------------------------------
 
 @pytest.mark.parametrize("what", ["neighbour", "both"])
 def test_centre_cut_off_goes_on(build, what):
-    """A data centre is cut off from its neighbour, or from that and the
-    log.  What was accepted stays in force there and its processes stay
-    ready; an operator inside the cut is told that nothing was accepted.
-    After healing the newest version is in force within seconds."""
+    """A data centre is cut off from its neighbour, or from its neighbour and
+    the log.  The version in force there stays so, and its processes stay
+    ready; publishing from inside it fails.  The newest version is in force
+    within 3 s after the partition ends."""
     c = make_cluster(build, ("dc1", "dc2"))
     c.add_log_proxy("dc2")
     for centre in ("dc1", "dc2"):
--- a/tests/test_relays.py
+++ b/tests/test_relays.py
@@ -40,6 +40,7 @@
 
 
 def find_relay(c):
+    """A follower that other gateways are linked to."""
     for g in c.gateways:
         if g.proc.poll() is None:
             d = g.dump()
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,5 +1,5 @@
-"""Connections that go silent for good while new ones work, and upstreams
-that do."""
+"""Connections that go silent for good while new ones work, and upstreams that
+go silent."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -28,6 +28,7 @@
 
 @pytest.fixture(name="one", scope="module")
 def cluster_of_one(build):
+    """One router and one engine, shared by the tests of this module."""
     with make_cluster(build, 1) as c:
         c.publish_samples()
         yield c
@@ -35,6 +36,7 @@
 
 @pytest.fixture(name="two", scope="module")
 def cluster_of_two(build):
+    """One router and two engines, both with the model loaded."""
     with make_cluster(build, 2) as c:
         c.publish_samples()
         call_many(c, 16)
@@ -54,7 +56,7 @@
 
 
 def call_many(c, count):
-    """Streams at once, so that as many connections are pooled."""
+    """COUNT streams at once, so that as many connections get pooled."""
     with ThreadPoolExecutor(count) as pool:
         list(pool.map(lambda i: call(c, "many %d" % i, True), range(count)))
 
@@ -76,9 +78,9 @@
 
 
 def test_pooled_connection_forgotten_in_between(one):
-    """Six pooled connections are forgotten by a device in between.  The
-    next call is sent into one of them and hears nothing.  It goes on over
-    a new connection, and the five others are not tried after it."""
+    """A device between router and engine drops six pooled connections without
+    an error.  The next call uses one of them and gets no response.  It is
+    repeated on a new connection, and the other five are not used any more."""
     call_many(one, 6)
     before = count(one, "router_silent_connections_total")
     one.set_proxy("dc1-lm1", freeze_old=True)
@@ -88,9 +90,9 @@
 
 
 def test_silent_connections_do_not_eject_the_upstream(one):
-    """Six calls at once hear nothing on six pooled connections.  Taken as
+    """Six concurrent calls get no response on six pooled connections.  As
     failures of the upstream they would eject the only one there is; a new
-    connection tells that it is well."""
+    connection shows that it is healthy."""
     call_many(one, 6)
     before = count(one, "router_ejections_total")
     one.set_proxy("dc1-lm1", freeze_old=True)
@@ -99,8 +101,9 @@
 
 
 def test_stream_that_falls_silent_goes_on(one):
-    """The connection goes silent in the middle of a stream: no error, no
-    end.  The caller gets the rest over a new one, from the next token."""
+    """A connection goes silent in the middle of a stream, without an error or
+    an end.  The caller gets the rest over a new one, from the next token on.
+    """
     one.set_faults("dc1-lm1", token_ms=40)
     with ThreadPoolExecutor(1) as pool:
         f = pool.submit(call, one, "silent stream", True, 40)
@@ -112,9 +115,9 @@
 
 
 def test_call_without_response_ends_at_its_deadline(one):
-    """Bytes reach the engine and its answers vanish.  Generation may be
-    run again; while nothing comes back it ends by its deadline, told as
-    may-have-run, and never hangs."""
+    """Requests reach the engine and its responses are lost.  Generation may be
+    run again; without a response the call ends at its deadline, as
+    failed-may-have-run, and never hangs."""
     one.set_proxy("dc1-lm1", one_way="down")
     start = time.monotonic()
     a = one.complete(ROUTER, "drafting", "bulletin-draft", "one way",
@@ -126,8 +129,8 @@
 
 
 def test_service_call_into_silence_is_sent_once(one):
-    """A service's answer never comes.  The call may have run: it is told
-    so at its deadline and is never sent again."""
+    """A service's response is lost.  The call may have run, so it is never
+    sent again and fails as failed-may-have-run at its deadline."""
     mark = "silent-service"
     one.set_proxy("dc1-sadasya-ledger", one_way="down")
     a = one.ask(ROUTER, "registry", "/v1/services/member-lookup/m", {"q": 1},
@@ -139,8 +142,8 @@
 
 
 def test_service_call_never_uses_an_old_connection(one):
-    """Connections to the service were forgotten in between.  A call sent
-    into one would end as may-have-run though nothing ran."""
+    """A device in between dropped the connections to the service.  A call on
+    one of them would end as failed-may-have-run though nothing ran."""
     def ask():
         return one.ask(ROUTER, "registry", "/v1/services/member-lookup/m",
                        {"q": 1})
@@ -150,8 +153,8 @@
 
 
 def test_whole_generation_uses_a_new_connection(one):
-    """Nothing is heard of an unstreamed completion before its end, so a
-    forgotten connection would be found out by the deadline only."""
+    """An unstreamed completion sends nothing before its end, so a dropped
+    connection would be noticed at the deadline only."""
     call_many(one, 2)
     before = count(one, "router_silent_connections_total")
     one.set_proxy("dc1-lm1", freeze_old=True)
@@ -160,9 +163,9 @@
 
 
 def test_long_generation_is_not_taken_for_silence(one):
-    """Calls were short so far; one that asks for eight times the tokens
-    takes longer than answer_ms.  It is not silent: running it again would
-    take as long, and the engine is well."""
+    """After short calls, one for eight times the tokens takes longer than
+    answer_ms.  Its connection is not silent: the engine is healthy, and to run
+    it again would take as long."""
     one.set_faults("dc1-lm1", token_ms=30)
     for i in range(10):
         call(one, "short %d" % i)
@@ -173,8 +176,8 @@
 
 
 def test_idle_connection_is_not_used_again(build):
-    """A connection idle for longer than pool_idle_ms may have been
-    forgotten; it is closed instead of tried, so nothing waits for it."""
+    """A connection that was idle for longer than pool_idle_ms may have been
+    dropped on the way.  It is closed and not used, so no call waits for it."""
     c = make_cluster(build, 1)
     c.settings = {"router": {"router": {"pool_idle_ms": 1000}}}
     with c:
@@ -187,10 +190,10 @@
 
 
 def test_silent_upstream_is_ejected_and_returns_slowly(two):
-    """One of two engines hears and says nothing more, on new connections
-    too.  Its calls go on at the other; it is ejected.  When it is back a
-    probe on a fresh connection finds it well, and its share of the traffic
-    grows step by step."""
+    """One of two engines goes silent, on new connections too.  Its calls are
+    continued at the other and it is ejected.  Once it is back, a probe on a
+    new connection finds it healthy, and its share of the traffic grows in
+    steps."""
     two.set_proxy("dc1-lm1", freeze=True)
     wait_until(lambda: call_many(two, 8) or find_upstream(
         two, "dc1-lm1")["ejected"], 25, "ejection")
@@ -218,10 +221,9 @@
 
 
 def test_unstreamed_completions_leave_no_connections(one):
-    """Each unstreamed completion opens a connection of its own.  If it were
-    kept in the pool, where none of its kind is ever used again, idle ones
-    would pile up at the engine until it has no thread for a caller and falls
-    silent."""
+    """Each unstreamed completion opens a connection of its own, which is never
+    reused.  If these stayed in the pool, idle connections would accumulate at
+    the engine until it has no thread left for a caller and goes silent."""
     port = one.port("dc1-lm1")
     call_many(one, 2)
     before = open_connections(port)
--- a/tests/test_workspace_limits.py
+++ b/tests/test_workspace_limits.py
@@ -1,4 +1,4 @@
-"""Limits of workspaces, which hold over all gateways together."""
+"""Rate limits of workspaces, which hold for all gateways together."""
 
 import threading
 import time
@@ -24,7 +24,8 @@
 
 
 def send_at_rate(gateways, seconds, per_s, key=KEY, tokens=None, **more):
-    """(time, status, headers) of requests spread over GATEWAYS."""
+    """Sends PER_S requests per second to GATEWAYS in turn; returns (time,
+    status, headers) of each."""
     head = {"X-Api-Key": key}
     if tokens:
         head["X-Token-Count"] = tokens
@@ -50,16 +51,19 @@
 
 
 def max_in_window(times):
+    """The largest number of TIMES in any window of WINDOW_S."""
     return max((sum(1 for t in times if at <= t <= at + WINDOW_S)
                 for at in times), default=0)
 
 
 def admitted_times(answers):
+    """Send times of the requests that were answered with 200."""
     return [at for at, status, _ in answers if status == 200]
 
 
 def test_one_gateway_keeps_the_limit(build):
-    """Over it 429 with a time to come back; within it nobody is refused."""
+    """Requests over the limit get 429 with Retry-After; none is refused
+    within the limit."""
     with Cluster(build, extra=LIMIT_SETTINGS) as c:
         c.leader()
         c.put_in_force(limited_config(10, 20, 20))
@@ -71,7 +75,7 @@
         assert len(admitted_times(answers)) >= 20 * 5 * 0.8
         assert all(0 < float(h["Retry-After"]) < 10
                    for _, s, h in answers if s == 429)
-        # The other workspace, and public routes, don't feel it.
+        # Another workspace and public routes are not affected.
         assert all(s == 200
                    for _, s, _ in send_at_rate(c.gateways, 1, 40, "k-other"))
         assert all(s == 200 for _, s, _ in send_at_rate(
@@ -91,7 +95,8 @@
 
 
 def test_limit_holds_when_the_leader_is_lost(build):
-    """Those that it told keep to their parts until another sums."""
+    """Gateways keep to the shares that the leader last gave them until
+    another VM aggregates the usage."""
     with Cluster(build, gateways=4, extra=LIMIT_SETTINGS) as c:
         wait_until(c.all_linked)
         c.put_in_force(limited_config(10, 20, 20))
@@ -105,8 +110,8 @@
 
 
 def test_limit_in_tokens(build):
-    """A request counts with its prompt and its longest answer; one that tells
-    none as the workspace says."""
+    """A request counts its prompt tokens and the maximum of its answer; one
+    that declares none counts plain_tokens of its workspace."""
     with Cluster(build, extra=LIMIT_SETTINGS.replace(
             "slack = 4", "slack = 0")) as c:
         c.leader()
@@ -121,8 +126,8 @@
 
 
 def test_refused_request_gets_its_credit_back(build):
-    """Its upstreams turn all away: what has not run doesn't count, and the
-    callers that come when they are back are let in."""
+    """Upstreams refuse all requests as not run: these don't count, so requests
+    are admitted as soon as the upstreams accept them again."""
     with Cluster(build, extra=LIMIT_SETTINGS) as c:
         c.leader()
         c.put_in_force(limited_config(10, 2, 4))
--- a/tests/test_workspaces.py
+++ b/tests/test_workspaces.py
@@ -1,4 +1,4 @@
-"""Workspaces on the gateway: keys and priorities of those who call."""
+"""Workspaces on the gateway: API keys and priorities of callers."""
 
 import http.client
 import socket
@@ -22,6 +22,7 @@
 
 @pytest.fixture(name="one", scope="module")
 def fixture_one(build):
+    """A cluster with one gateway, shared by the tests of this module."""
     with Cluster(build) as c:
         c.leader()
         c.put_in_force(with_keys(10))
@@ -29,7 +30,7 @@
 
 
 def seen_by(c, rid):
-    """Headers with which RID ran."""
+    """Headers of request RID at each server that ran it."""
     return [r[2] for e in c.apps + c.engines for r in e.requests
             if r[2]["X-Attempt-Id"] == rid]
 
@@ -39,8 +40,8 @@
 
 
 def test_key_becomes_workspace(one):
-    """A server sees who calls, and neither the key nor what the caller says
-    of itself."""
+    """A server gets the caller's workspace, but neither its key nor an
+    X-Tenant header of the caller."""
     status, _, _, rid = ask_with(one, {"X-Api-Key": KEY, "X-Tenant": "beta"})
     assert status == 200
     head, = seen_by(one, rid)
@@ -59,7 +60,7 @@
 
 
 def test_two_keys_are_401(one):
-    """Two headers: which of them counts must not be a guess."""
+    """Two key headers are ambiguous, so they are refused."""
     s = socket.create_connection(("127.0.0.1", one.gateways[0].front))
     s.sendall(("GET /read/x HTTP/1.1\r\nHost: app.example\r\n"
                "X-Attempt-Id: twokeys\r\nX-Api-Key: %s\r\n"
@@ -69,7 +70,8 @@
 
 
 def test_public_route_needs_no_key(one):
-    """Nor does a caller say there who it is."""
+    """On a public route the key and an X-Tenant header of the caller are
+    dropped."""
     status, _, _, rid = ask_with(one, {"X-Tenant": "beta",
                                        "X-Api-Key": OTHER}, "open")
     assert status == 200
@@ -85,7 +87,7 @@
         assert status == 200
         urgency[key], = [int(h["X-Request-Urgency"])
                          for h in seen_by(one, rid)]
-    # alpha has priority 0, beta none of its own, and the route has 1.
+    # alpha has priority 0; beta has none, so the route's priority 1 counts.
     assert urgency[KEY] < urgency[OTHER]
 
 
@@ -103,15 +105,15 @@
 
 
 def test_no_configuration_is_503(build):
-    """A gateway that knows no configuration can't tell a wrong key."""
+    """A gateway without a configuration can't check a key."""
     with Cluster(build, first_config=False) as c:
         wait_until(lambda: c.gateways[0].events("started"))
         assert ask_with(c, {"X-Api-Key": KEY})[0] == 503
 
 
 def test_key_taken_away_on_open_connections(build):
-    """Callers that keep their connections lose a key like all others, on VMs
-    that read the store and on those that are told."""
+    """A key that is removed is refused on open connections as well, at the
+    leader, which reads the store, and at followers, which get updates."""
     with Cluster(build, gateways=3) as c:
         c.leader()
         c.put_in_force(with_keys(10))
@@ -130,8 +132,8 @@
 
 
 def test_all_keys_taken_away(build):
-    """A workspace without keys, and a configuration without workspaces, let
-    nobody in by an old key."""
+    """Old keys are refused once a workspace has no keys, or a configuration
+    has no workspaces."""
     with Cluster(build) as c:
         c.put_in_force(with_keys(10, first=()))
         assert ask_with(c, {"X-Api-Key": KEY})[0] == 401
@@ -142,8 +144,8 @@
 
 
 def test_fail_closed_when_the_store_is_silent(build):
-    """With fail_closed a VM that can't hear of revocations for revoke_ms lets
-    no key in; without it callers don't feel the outage."""
+    """With fail_closed, a VM that could not learn of revocations for revoke_ms
+    accepts no key; without it the outage does not affect callers."""
     for closed in (True, False):
         extra = "fail_closed = %s\nrevoke_ms = 2500\n" % str(closed).lower()
         with Cluster(build, store_proxies=True, extra=extra) as c:
