--- a/tests/platform_cluster.py
+++ b/tests/platform_cluster.py
@@ -42,7 +42,7 @@
                 time.sleep(0.05)
 
     def set(self, **faults):
-        """Sets FAULTS and clears all others."""
+        """Sets FAULTS; those of BASE that are not named are cleared."""
         base = {"delay_ms": 0, "cut": False, "freeze": False, "one_way": "",
                 "rate": 0}
         self.control.sendall(json.dumps(dict(base, **faults)).encode() +
@@ -222,7 +222,7 @@
                    for d in (g.dump() for g in self.gateways))
 
     def put_in_force(self, doc):
-        """Writes configuration DOC and waits for all running gateways."""
+        """Writes configuration DOC; waits until all running gateways use it."""
         self.store.put_config(doc)
         wait_until(lambda: all(g.dump()["config"] == doc["version"]
                                for g in self.gateways
