--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -1,6 +1,9 @@
-"""Stand-ins for the users' platform, by its published protocol: the store (a
-log over HTTP) and the engines.  They run in the test's own process, so that a
-test can look into them and make them fail."""
+"""Stand-ins for the users' platform, which speak its published protocol: the
+store (topics of records over HTTP), engines and application servers.
+
+They run on threads of the test's process.  Tests read their fields (requests,
+orders, calls) and set others to inject faults (mode, on_request, drop_*).
+"""
 
 import base64
 import json
@@ -12,7 +15,7 @@
 
 
 class App:
-    """One HTTP server on a thread of its own."""
+    """An HTTP server on its own thread; subclasses define handle()."""
 
     def __init__(self, port):
         self.port = port
@@ -30,27 +33,34 @@
         self.server.server_close()
 
 
+# Written by the platform only: /log-append refuses them with 403.
 TOPICS = {"op": "keyed.op", "servers": "keyed.servers"}
 
 
-def count_call(called, path, query):
+def count_call(call_counts, path, query):
     what = "%s %s" % (path, query.get("topic"))
-    called[what] = called.get(what, 0) + 1
+    call_counts[what] = call_counts.get(what, 0) + 1
 
 
 class Store(App):
-    """Topics of one partition each."""
+    """The platform's store: topics, each a log of keyed records.
+
+    put() and put_config() write as the platform does.
+    """
 
     def __init__(self, port):
         super().__init__(port)
-        self.topics = {}   # name -> list of (key, value or None)
-        self.first = {}    # name -> first offset kept
+        self.topics = {}   # topic -> list of (key, value or None)
+        self.first = {}    # topic -> lowest offset that can be read
         self.changed = threading.Condition(self.lock)
         self.calls = 0
-        self.called = {}   # "PATH TOPIC" -> calls
-        self.mode = "up"   # up, busy (503), silent
-        self.lose_appends = 0  # done, but not answered
-        self.refused = set()   # holders whose appends get 503
+        self.call_counts = {}   # "PATH TOPIC" -> calls
+        # up; busy: 503; silent: the connection is closed without a response
+        # after 3 s.
+        self.mode = "up"
+        # Number of appends to carry out without a response.
+        self.drop_append_replies = 0
+        self.refused = set()   # not used
 
     def put(self, topic, key, value):
         with self.lock:
@@ -70,14 +80,14 @@
             return {k: v for k, v in found.items() if v[0] is not None}
 
     def compact(self, topic):
-        """Forget the history: readers behind the tail get 410."""
+        """Drops all records: readers of older offsets get 410."""
         with self.lock:
             self.first[topic] = len(self.topics.get(topic, []))
 
     def handle(self, h, method, path, query, body):
         self.calls += 1
         with self.lock:
-            count_call(self.called, path, query)
+            count_call(self.call_counts, path, query)
         if self.mode == "silent":
             time.sleep(3)
             h.close_connection = True
@@ -93,7 +103,7 @@
                  for k, (v, offset) in sorted(
                      self.newest(query["topic"]).items())
                  if k > query.get("after", "")]
-        page = items[:3]   # small pages, so that clients have to go on
+        page = items[:3]   # small, so that clients must read several pages
         h.reply(200, {"items": page, "has_more": len(items) > len(page),
                       "end": len(self.topics.get(query["topic"], []))})
 
@@ -135,27 +145,27 @@
             key = rec[1:1 + rec[0]].decode()
             log.append((key, rec[1 + rec[0]:]))
             self.changed.notify_all()
-            lost = self.lose_appends > 0
-            self.lose_appends -= lost
+            lost = self.drop_append_replies > 0
+            self.drop_append_replies -= lost
         if lost:
             h.close_connection = True
             return
         h.reply(200, {"offset": offset, "end": offset + 1})
 
 
-class Door(App):
-    """One gateway's way to the store, which can fail by itself."""
+class StoreProxy(App):
+    """One gateway's connection to the store, with faults of its own."""
 
     def __init__(self, port, store):
         self.store = store
-        self.called = {}   # "PATH TOPIC" -> calls
-        self.mode = "up"   # up, busy or silent
-        self.delay_s = 0   # of each answer
+        self.call_counts = {}   # "PATH TOPIC" -> calls
+        self.mode = "up"   # as in Store
+        self.delay_s = 0   # added to each call
         super().__init__(port)
 
     def handle(self, h, method, path, query, body):
         with self.store.lock:
-            count_call(self.called, path, query)
+            count_call(self.call_counts, path, query)
         if self.mode == "silent":
             time.sleep(3)
             h.close_connection = True
@@ -167,7 +177,12 @@
 
 
 class Engine(App):
-    """A model engine, or with MODELS None a plain service's server."""
+    """A model engine, or an application server where MODELS is None.
+
+    It publishes its entry in topic keyed.servers, takes orders to load and
+    unload, and answers requests: an engine with a stream of EVENTS events, an
+    application server with JSON.
+    """
 
     def __init__(self, port, store, name, service="llm", models=None,
                  zone="z1"):
@@ -178,30 +193,35 @@
         self.memory_mb = 83000
         self.max_adapters = 8
         self.load_s = 0.05
-        self.sequence = 0       # orders accepted
-        self.beats = 0
-        self.busy = False
+        self.sequence = 0       # number of orders accepted
+        self.entries_published = 0
+        self.busy = False       # a load is running
         self.born = int(time.time() * 1000)
         self.state = "ready"
-        self.crashed = None     # why, when an order overcommitted it
-        self.runs = []          # ids that ran
-        self.arrivals = []      # (id, time) of all that arrived
+        # "memory" or "adapters" once an order exceeded that limit.
+        self.overcommitted = None
+        self.runs = []          # ids of the requests that were run
+        self.arrivals = []      # (id, time) of all requests received
         self.orders = []        # (time, holder, token, op, model, adapter)
-        self.lose_orders = 0    # accepted, not answered
-        self.cancelled = []     # ids whose connection closed under the work
-        self.requests = []      # (headers, body) of what ran
-        self.behave = None      # f(engine, handler, id) -> True if it answered
-        self.events = 5
-        self.event_s = 0.01
-        self.work_s = 0.0
+        # Number of orders to carry out without a response.
+        self.drop_order_replies = 0
+        # (id, time) of streams whose connection was closed before their end.
+        self.cancelled = []
+        # (method, path, headers, body) of the requests that were run.
+        self.requests = []
+        # f(engine, handler, id), called for each request; True: it answered.
+        self.on_request = None
+        self.events = 5         # events in a stream
+        self.event_s = 0.01     # between two events
+        self.work_s = 0.0       # before an application server's answer
         super().__init__(port)
-        self.beat()
+        self.publish_entry()
 
     def entry(self):
         doc = {"service": self.service, "address": self.address,
                "zone": self.zone, "version": "v1", "slots": 8,
                "state": self.state, "cold_left_ms": 0, "phase": "both",
-               "sequence": self.beats, "born": self.born}
+               "sequence": self.entries_published, "born": self.born}
         if self.models is not None:
             doc["models"] = self.list_models()
             doc["at_hand"] = {"in_memory": [], "on_disk": []}
@@ -211,19 +231,19 @@
         return [{"name": m, "version": 1, "adapters": sorted(a)}
                 for m, a in self.models.items()]
 
-    def beat(self):
-        self.beats += 1
+    def publish_entry(self):
+        self.entries_published += 1
         self.store.put("keyed.servers", self.name,
                        json.dumps(self.entry()).encode())
 
     def drain(self):
         self.state = "draining"
-        self.beat()
+        self.publish_entry()
 
     def leave(self):
         self.store.put("keyed.servers", self.name, None)
 
-    # ---- calls
+    # ---- requests of gateways
 
     def handle(self, h, method, path, query, body):
         expected = h.headers.get("X-Expect-Instance")
@@ -248,34 +268,34 @@
             self.sequence += 1
             if o["op_type"] == "load" and not o.get("adapter"):
                 self.busy = True
-                threading.Timer(self.load_s, self.loaded,
+                threading.Timer(self.load_s, self.finish_load,
                                 [o["model"]]).start()
                 used = sum(self.sizes.get(m, 0) for m in self.models)
                 if used + self.sizes.get(o["model"], 0) > self.memory_mb:
-                    self.crashed = "memory"
+                    self.overcommitted = "memory"
             elif o["op_type"] == "load":
                 self.models[o["model"]].add(o["adapter"])
                 if sum(map(len, self.models.values())) > self.max_adapters:
-                    self.crashed = "adapters"
+                    self.overcommitted = "adapters"
             elif o.get("adapter"):
                 self.models[o["model"]].discard(o["adapter"])
             else:
                 self.models.pop(o["model"], None)
-            lost = self.lose_orders > 0
-            self.lose_orders -= lost
+            lost = self.drop_order_replies > 0
+            self.drop_order_replies -= lost
         if lost:
             h.close_connection = True
         else:
             done = o["op_type"] == "unload" and o.get("adapter")
             h.reply(200 if done else 202, {})
 
-    def loaded(self, model):
+    def finish_load(self, model):
         with self.lock:
             self.models[model] = set()
             self.busy = False
-        self.beat()
+        self.publish_entry()
 
-    def holds(self, wanted):
+    def is_loaded(self, wanted):
         model, _, adapter = wanted.partition("/")
         return model in self.models and (
             not adapter or adapter in self.models[model])
@@ -285,13 +305,13 @@
         with self.lock:
             self.arrivals.append((rid, time.monotonic()))
         wanted = h.headers.get("X-Model")
-        if self.models is not None and wanted and not self.holds(wanted):
+        if self.models is not None and wanted and not self.is_loaded(wanted):
             h.reply(421, {}, {"X-Attempt-Id": rid})
             return
         with self.lock:
             self.runs.append(rid)
             self.requests.append((h.command, h.path, dict(h.headers), body))
-        if self.behave and self.behave(self, h, rid):
+        if self.on_request and self.on_request(self, h, rid):
             return
         if wanted:
             self.stream(h, rid)
@@ -302,6 +322,8 @@
                     {"X-Attempt-Id": rid, "X-Server-Stamp": "s-" + self.name})
 
     def stream(self, h, rid, stop_after=None, tear=False):
+        """Sends events from the one after Last-Event-Id on.  Closes the
+        connection before event STOP_AFTER; TEAR sends half of that event."""
         first = int(h.headers.get("Last-Event-Id") or -1) + 1
         h.start_stream({"X-Attempt-Id": rid,
                         "X-Server-Stamp": "s-" + self.name})
@@ -333,7 +355,7 @@
 
 
 def routes_with_public():
-    """The usual ones, and "open", which asks for no key."""
+    """The routes of config() and a public one, "open"."""
     return config(1)["routes"] + [
         route("open", "app", "idempotent", public=True)]
 
--- a/tests/fault_proxy.py
+++ b/tests/fault_proxy.py
@@ -1,18 +1,22 @@
-"""A fault-injecting TCP proxy: --port to --target, told what to do by
-lines on --control-port ("PUT /test/faults {...}").
-
-Faults: delay_ms; cut (refuse new, close old); freeze (keep connections
-open and move nothing); freeze_old (only connections open now go silent);
-one_way ("up" or "down": bytes in that direction vanish); drop_after_up
-(close after that many upward bytes went through and before any answer);
-hold_text with hold_ms (upward bytes with that text are held for so long);
-rate (bytes a second that each connection carries; 0: any).
+"""A TCP proxy from --port to --target that injects faults.
+
+Each line on --control-port is a JSON object of faults to set; the reply is
+"ok".  "up" is the direction from the client to the target.
+
+delay_ms       delay of each piece of data
+cut            close all connections and refuse new ones
+freeze         keep connections open but forward nothing
+freeze_old     the same for the connections that are open now
+one_way        "up" or "down": discard the data in that direction
+drop_after_up  close a connection once that many bytes went up (one time)
+hold_text      delay data that goes up and contains this text by hold_ms
+rate           bytes per second and direction of each connection; 0: no limit
 """
 
 import asyncio
 import json
 
-import standin  # noqa: F401  (same folder; keeps one argument style)
+import standin
 
 
 class Proxy:
@@ -26,43 +30,44 @@
         self.silent = set()
         self.count = 0
 
-    def get_piece(self):
-        """A twentieth of a second's bytes."""
+    def get_chunk_bytes(self):
+        """Size of a read: 50 ms of data at the set rate."""
         return self.faults["rate"] // 20 or 65536
 
-    def is_frozen(self, ident):
-        return self.faults["freeze"] or ident in self.silent
+    def is_frozen(self, conn_id):
+        return self.faults["freeze"] or conn_id in self.silent
 
-    async def hold(self, way, data):
+    async def hold(self, direction, data):
         text = self.faults["hold_text"].encode()
-        if way == "up" and text and text in data:
+        if direction == "up" and text and text in data:
             self.held += 1
             await asyncio.sleep(self.faults["hold_ms"] / 1000)
 
-    async def pump(self, ident, way, reader, writer):
+    async def pump(self, conn_id, direction, reader, writer):
         sent = 0
         try:
-            while data := await reader.read(self.get_piece()):
+            while data := await reader.read(self.get_chunk_bytes()):
                 if self.faults["rate"]:
                     await asyncio.sleep(len(data) / self.faults["rate"])
                 if self.faults["delay_ms"]:
                     await asyncio.sleep(self.faults["delay_ms"] / 1000)
-                await self.hold(way, data)
-                while self.is_frozen(ident):
+                await self.hold(direction, data)
+                while self.is_frozen(conn_id):
                     await asyncio.sleep(0.02)
-                if self.faults["one_way"] == way:
+                if self.faults["one_way"] == direction:
                     continue
                 writer.write(data)
                 await writer.drain()
                 sent += len(data)
-                if way == "up" and 0 < self.faults["drop_after_up"] <= sent:
+                if (direction == "up" and
+                        0 < self.faults["drop_after_up"] <= sent):
                     self.faults["drop_after_up"] = 0
                     break
         except (ConnectionError, asyncio.CancelledError):
             pass
         finally:
-            # Closing one side silently would hide a truncated answer.
-            for w in self.open.get(ident, ()):
+            # Closing one side only would hide that an answer was cut off.
+            for w in self.open.get(conn_id, ()):
                 w.close()
 
     async def accept(self, reader, writer):
@@ -74,17 +79,17 @@
         except OSError:
             writer.close()
             return
-        if self.faults["cut"]:  # cut while this was being connected
+        if self.faults["cut"]:  # set while connecting to the target
             writer.close()
             up_writer.close()
             return
         self.count += 1
-        ident = self.count
-        self.open[ident] = (writer, up_writer)
-        await asyncio.gather(self.pump(ident, "up", reader, up_writer),
-                             self.pump(ident, "down", up_reader, writer))
-        self.open.pop(ident, None)
-        self.silent.discard(ident)
+        conn_id = self.count
+        self.open[conn_id] = (writer, up_writer)
+        await asyncio.gather(self.pump(conn_id, "up", reader, up_writer),
+                             self.pump(conn_id, "down", up_reader, writer))
+        self.open.pop(conn_id, None)
+        self.silent.discard(conn_id)
 
     def set_faults(self, faults):
         if faults.pop("freeze_old", False):
