--- a/src/gn.h
+++ b/src/gn.h
@@ -28,7 +28,7 @@
     bool out;
     bool relayed;   /* linked gateways were asked for it as well */
     bool own_ended; /* the store did not do it, or did not answer */
-    StEnd own_end;
+    StResult own_end;
     uint64_t at;
     char *value;
     uint64_t sent_ms;
@@ -118,7 +118,7 @@
 /* main_gateway */
 /* Callers begin to wait: the placing VM is told soon, with what else comes
    meanwhile. */
-void gn_want(Gateway *g);
+void gn_schedule_demand(Gateway *g);
 const char *gn_get_text(const Gateway *g, const char *key);
 /* Where other gateways link to this one. */
 const char *gn_get_address(const Gateway *g);
--- a/src/gn_demand.c
+++ b/src/gn_demand.c
@@ -108,12 +108,12 @@
 /* ---- mail, where links are cut ------------------------------------------ */
 
 static void
-on_mail_records(void *ctx, const GPtrArray *records, StPart part,
+on_mail_records(void *ctx, const GPtrArray *records, StBatchKind part,
                 GHashTable *listed)
 {
     (void)listed;
     Gateway *g = ctx;
-    for (guint i = 0; part == ST_NEWS && i < records->len; i++) {
+    for (guint i = 0; part == ST_UPDATES && i < records->len; i++) {
         const StRecord *r = records->pdata[i];
         gsize len = 0;
         const uint8_t *data =
@@ -153,7 +153,7 @@
         g->mail_watch = NULL;
     }
     else if (places && !g->mail_watch) {
-        StWatchParams mail = {ST_MAIL, "mail", 0, MAIL_BUSY_PAUSE_MS};
+        StWatchParams mail = {ST_MAILBOX, "mail", 0, MAIL_BUSY_PAUSE_MS};
         StWatchHandler on_mail = {g, on_mail_records, on_mail_reach};
         g->mail_watch = st_create_watch(g->loop, g->store, &mail, &on_mail);
         st_set_idle(g->mail_watch, false);
@@ -174,7 +174,7 @@
     g_autofree uint8_t *bytes = g_malloc(len + 1);
     gwp__frame__pack(f, bytes);
     g->mail_ms = bg_boot_ms();
-    g->store->ops->append(g->store, ST_MAIL, ST_ANY_TAIL,
+    g->store->ops->append(g->store, ST_MAILBOX, ST_ANY_TAIL,
                           gn_get_text(g, "name"), bytes, len, on_mail_left, g);
 }
 
--- a/src/gn_lease.c
+++ b/src/gn_lease.c
@@ -79,7 +79,7 @@
 /* ---- appending, by ourselves or through others -------------------------- */
 
 static void
-finish_append(Gateway *g, StEnd end, uint64_t offset, uint64_t tail)
+finish_append(Gateway *g, StResult end, uint64_t offset, uint64_t tail)
 {
     g->renewal.out = false;
     g_clear_pointer(&g->renewal.value, g_free);
@@ -198,7 +198,7 @@
 } RelayCtx;
 
 static void
-answer_relay(const RelayCtx *c, StEnd end, const Newest *n, uint64_t tail)
+answer_relay(const RelayCtx *c, StResult end, const Newest *n, uint64_t tail)
 {
     Gwp__LeaseAnswer a = GWP__LEASE_ANSWER__INIT;
     a.id = c->id;
--- a/src/gn_links.c
+++ b/src/gn_links.c
@@ -301,7 +301,7 @@
     w->model = (char *)model;
     w->wait_ms = wait_ms;
     g_ptr_array_add(list->waits, w);
-    gw_on_wait(list->g->gw, list->now_ms, model, wait_ms);
+    gw_on_wait_estimate(list->g->gw, list->now_ms, model, wait_ms);
 }
 
 /* TO: one of those linked to us; NULL: all of them. */
@@ -341,7 +341,7 @@
     send_state(g, NULL, now_ms, gateways);
     rb_on_gateways(g->budget, now_ms, gateways);
     if (g->placing) {
-        gw_on_placer(g->gw, now_ms, ls_get_rest_ms(g->lease, now_ms));
+        gw_on_leader(g->gw, now_ms, ls_get_rest_ms(g->lease, now_ms));
         gn_pace_mail(g, gn_count_linked(g), gateways);
     }
 }
@@ -541,7 +541,7 @@
     ut_on_totals(g->upstreams, sent_ms, NULL, 0, false);
     if (!s->idle) {
         ls_on_heard(g->lease, sent_ms);
-        gw_on_placer(g->gw, now_ms, s->rest_ms);
+        gw_on_leader(g->gw, now_ms, s->rest_ms);
     }
     rb_on_gateways(g->budget, now_ms, s->gateways);
     gn_follow_version(g, now_ms, s->config_version);
@@ -551,7 +551,8 @@
     MpStoreRate rate = {s->store_at_once, s->store_most};
     mp_set_store_rate(g->placement, rate);
     for (size_t i = 0; i < s->n_waits; i++) {
-        gw_on_wait(g->gw, now_ms, s->waits[i]->model, s->waits[i]->wait_ms);
+        gw_on_wait_estimate(g->gw, now_ms, s->waits[i]->model,
+                            s->waits[i]->wait_ms);
     }
 }
 
@@ -661,7 +662,7 @@
         break;
     case GWP__FRAME__BODY_DEMAND:
         if (gn_take_demand(g, lk_get_vm(from), f->demand) && !g->placing) {
-            gn_want(g); /* passed on at once */
+            gn_schedule_demand(g); /* passed on at once */
         }
         lk_set_urgent(from, dm_waits(g->demand, lk_get_vm(from)));
         break;
--- a/src/gn_store.c
+++ b/src/gn_store.c
@@ -84,7 +84,7 @@
 /* Of several versions the highest is taken at once; what came in force never
    goes back. */
 static void
-on_config_records(void *ctx, const GPtrArray *records, StPart part,
+on_config_records(void *ctx, const GPtrArray *records, StBatchKind part,
                   GHashTable *listed)
 {
     (void)part;
@@ -235,7 +235,7 @@
 }
 
 static void
-on_upstream_records(void *ctx, const GPtrArray *records, StPart part,
+on_upstream_records(void *ctx, const GPtrArray *records, StBatchKind part,
                     GHashTable *listed)
 {
     Gateway *g = ctx;
@@ -313,8 +313,8 @@
 get_most_backoff_ms(const Gateway *g, bool heard)
 {
     uint32_t most_ms = g->fleet * BACKOFF_OF_ONE_MS;
-    return heard ? CLAMP(most_ms, ST_MOST_BACKOFF_MS, MOST_BACKOFF_MS)
-                 : ST_MOST_BACKOFF_MS;
+    return heard ? CLAMP(most_ms, ST_MAX_BACKOFF_MS, MOST_BACKOFF_MS)
+                 : ST_MAX_BACKOFF_MS;
 }
 
 void
@@ -341,8 +341,8 @@
         g->placing || lonely || overdue || (direct && !g->placer_reads);
     st_set_idle(g->upstream_watch, !reads);
     uint32_t backoff_ms = get_most_backoff_ms(g, heard && !g->placing);
-    st_set_most_backoff(g->config_watch, backoff_ms);
-    st_set_most_backoff(g->upstream_watch, backoff_ms);
+    st_set_max_backoff(g->config_watch, backoff_ms);
+    st_set_max_backoff(g->upstream_watch, backoff_ms);
 }
 
 /* A newer configuration was told of; our own read should have ended with it
--- a/src/ls.c
+++ b/src/ls.c
@@ -239,7 +239,7 @@
 }
 
 void
-ls_on_read(Ls *l, uint64_t now_ms, StEnd end, const char *value,
+ls_on_read(Ls *l, uint64_t now_ms, StResult end, const char *value,
            uint64_t offset, uint64_t tail)
 {
     l->reading = false;
@@ -269,7 +269,8 @@
 }
 
 void
-ls_on_append(Ls *l, uint64_t now_ms, StEnd end, uint64_t offset, uint64_t tail)
+ls_on_append(Ls *l, uint64_t now_ms, StResult end, uint64_t offset,
+             uint64_t tail)
 {
     l->writing = false;
     if (l->giving_up) {
--- a/src/ls.h
+++ b/src/ls.h
@@ -47,9 +47,9 @@
 
 void ls_on_tick(Ls *l, uint64_t now_ms);
 /* END and TAIL as of StReply; VALUE: of the newest record read, or NULL. */
-void ls_on_read(Ls *l, uint64_t now_ms, StEnd end, const char *value,
+void ls_on_read(Ls *l, uint64_t now_ms, StResult end, const char *value,
                 uint64_t offset, uint64_t tail);
-void ls_on_append(Ls *l, uint64_t now_ms, StEnd end, uint64_t offset,
+void ls_on_append(Ls *l, uint64_t now_ms, StResult end, uint64_t offset,
                   uint64_t tail);
 /* The holder was heard over a link: it lived at HEARD_MS. */
 void ls_on_heard(Ls *l, uint64_t heard_ms);
--- a/tests/unit_gateway.c
+++ b/tests/unit_gateway.c
@@ -77,7 +77,7 @@
     if (v->reading) {
         v->reading = false;
         bool news = v->topic->newest && v->topic->tail > v->from;
-        ls_on_read(v->lease, now_ms, v->cut ? ST_AWAY : ST_OK,
+        ls_on_read(v->lease, now_ms, v->cut ? ST_UNREACHABLE : ST_OK,
                    news ? v->topic->newest : NULL, v->topic->tail - 1,
                    v->topic->tail);
     }
@@ -90,7 +90,7 @@
             v->topic->tail++;
         }
         ls_on_append(v->lease, now_ms,
-                     v->cut ? ST_AWAY
+                     v->cut ? ST_UNREACHABLE
                      : fits ? ST_OK
                             : ST_CONFLICT,
                      v->topic->tail - 1, v->topic->tail);
@@ -228,7 +228,7 @@
         g_free(v->topic->newest);
         v->topic->newest = g_strdup(v->value);
         v->topic->tail++;
-        ls_on_append(v->lease, now_ms, ST_AWAY, 0, 0);
+        ls_on_append(v->lease, now_ms, ST_UNREACHABLE, 0, 0);
     }
     vm_answer(v, now_ms);
 }
