--- a/src/dep.h
+++ b/src/dep.h
@@ -39,16 +39,16 @@
     char *prefix;   /* begins and ends with a slash */
     bool is_public; /* no key is asked for */
     DepKind kind;
-    bool resumable;        /* streams only */
-    bool by_model;         /* its requests name a model */
-    uint32_t timeout_ms;   /* to the whole answer; 0: none */
-    uint32_t objective_ms; /* to the first byte, for full credit */
-    uint32_t gap_ms;       /* longest pause between events; 0: not told */
-    uint32_t patience_ms;  /* callers leave after so long without an event;
-                              0: not told */
-    uint32_t attempts;     /* upstreams that one request may run on */
-    uint32_t priority;     /* 0 is the highest */
-    GArray *splits;        /* DepSplit; at least one */
+    bool resumable;            /* streams only */
+    bool by_model;             /* its requests name a model */
+    uint32_t timeout_ms;       /* to the whole answer; 0: none */
+    uint32_t objective_ms;     /* to the first byte, for full credit */
+    uint32_t gap_ms;           /* longest pause between events; 0: not told */
+    uint32_t event_timeout_ms; /* callers leave after so long without an event;
+                             0: not told */
+    uint32_t attempts;         /* upstreams that one request may run on */
+    uint32_t priority;         /* 0 is the highest */
+    GArray *splits;            /* DepSplit; at least one */
 } DepRoute;
 
 typedef struct {
@@ -89,7 +89,7 @@
     GHashTable *hosts;    /* host -> GPtrArray of DepRoute, longest first */
     GHashTable *services; /* name -> DepService */
     /* Requests carry the key of a workspace, but on public routes. */
-    bool asks_keys;
+    bool requires_keys;
     GHashTable *workspaces; /* name -> DepWorkspace */
     GHashTable *keys;       /* DepKey -> DepWorkspace; never the keys
                                themselves, which would show in a core */
@@ -144,7 +144,7 @@
     uint32_t slots;
     uint64_t born_ms;  /* of this life; 0: not told */
     uint64_t sequence; /* of a report: orders accepted in this life */
-    bool tells_models;
+    bool reports_models;
     bool busy;            /* of a report: an order is being carried out */
     GPtrArray *models;    /* DepResident */
     GPtrArray *in_memory; /* char *: models with a copy in main memory */
--- a/src/gw.c
+++ b/src/gw.c
@@ -11,7 +11,8 @@
 /* The caller's clock started before ours: an answer that it is to see in
    time leaves this much before its deadline. */
 #define DEADLINE_MARGIN_MS 80
-#define NO_LIMIT_MS 60000 /* neither the caller nor the route sets one */
+#define DEFAULT_TIMEOUT_MS                                                    \
+    60000 /* neither the caller nor the route sets one */
 /* An upstream that takes several times the usual is taken for silent, where
    the request may be sent elsewhere. */
 #define SILENT_FACTOR 4
@@ -24,49 +25,50 @@
 #define SILENT_GAP_MS 1000
 /* An upstream that is busy, not dead, is left only for one with less than this
    share of its load, and so many less. */
-#define LESS_LOAD 0.5
-#define LESS_REQUESTS 2
+#define BUSY_SWITCH_LOAD_RATIO 0.5
+#define BUSY_SWITCH_FEWER_REQUESTS 2
 /* A dead one is left for any that has not so many more. */
-#define MORE_REQUESTS 4
+#define DEAD_SWITCH_MORE_REQUESTS 4
 /* Kept connections older than this aren't used for what may not be sent
    twice: a close that crosses the request would lose it. */
-#define MAX_IDLE_ONCE_MS 1500
-#define DEATH_LIFE_MS 120000
+#define MAX_IDLE_NO_REPEAT_MS 1500
+#define DEATH_KEEP_MS 120000
 /* A refusal without a better estimate: until a VM or upstream is back. */
 #define RETRY_SOON_MS 200
 #define RETRY_LATER_MS 1000
-#define RETRY_STOP_MS 50 /* another gateway takes it at once */
+#define RETRY_STOPPING_MS 50 /* another gateway takes it at once */
 /* A service without any upstream is waited for this long: its list may be
    behind. */
 #define EMPTY_WAIT_MS 150
 /* A process that starts is told its first configuration within this, or the
    store is away.  What comes before waits for it: the callers' other gateways
    may be starting too, and they come back only once or twice. */
-#define START_MS 1000
-#define START_WAIT_MS 450 /* of one request */
+#define FIRST_CONFIG_TIMEOUT_MS 1000
+#define START_MAX_WAIT_MS 450 /* of one request */
 /* After its configuration the longest list of upstreams has come within this,
    or the store is away. */
-#define LIST_MS 5000
+#define FIRST_LIST_TIMEOUT_MS 5000
 /* A placing VM that isn't heard for so long is lost, and another orders so
    long after it was last heard: the lease, the claim, the rest. */
-#define PLACER_LOST_MS 1000
-#define PLACER_MOVES_MS 5200
-#define PLACER_BACK_MS 400 /* it is overdue: may be back at any moment */
-#define WAIT_LIFE_MS 1500  /* an estimate older than this is forgotten */
+#define LEADER_LOST_MS 1000
+#define LEADER_CHANGE_MS 5200
+#define LEADER_OVERDUE_MS 400    /* it is overdue: may be back at any moment */
+#define ESTIMATE_MAX_AGE_MS 1500 /* an estimate older than this is forgotten  \
+                                  */
 /* A request is not sent behind others that take longer to begin than this
    part of its route's objective: a queue that is longer makes all answers late
    and none more, since the upstream begins as many a second with a short one.
  */
-#define QUEUE_OBJECTIVES 1.25
+#define MAX_QUEUE_OBJECTIVES 1.25
 /* Least time in which a model that has just come can still answer. */
-#define SERVE_MS 150
+#define MIN_SERVE_MS 150
 /* On the wire 0 is first, 9 last, 5 usual. */
 #define FIRST_URGENCY 3
 #define URGENCY_STEP 2
 #define LAST_URGENCY 9
 /* Parts of what a route allows, after which a request is about to be late: of
    its objective without a first byte, of its gap without a next event. */
-#define SLOW_WAIT 0.6
+#define SLOW_FIRST_BYTE 0.6
 #define SLOW_PAUSE 0.8
 #define MAX_SENDS 6 /* of one request, those that ran nothing included */
 
@@ -85,12 +87,13 @@
     double cost;      /* against its workspace's limit, let in; 0: nothing */
     uint64_t digest;  /* of what the caller asks, whoever carries it */
     uint64_t arrival_ms;
-    uint64_t final_ms;    /* an answer, of whatever kind, is out by then */
-    uint64_t first_by_ms; /* the caller leaves when it has nothing by then */
+    uint64_t answer_by_ms; /* an answer, of whatever kind, is out by then */
+    uint64_t
+        first_byte_by_ms; /* the caller leaves when it has nothing by then */
     ReqState state;
-    const char *waits_for;  /* for the log */
-    const char *waited_for; /* the first thing that it waited for */
-    GList *link;            /* in the gateway's requests */
+    const char *waiting_for; /* for the log */
+    const char *waited_for;  /* the first thing that it waited for */
+    GList *link;             /* in the gateway's requests */
 
     /* the call that is out */
     HtCall *hc;
@@ -98,11 +101,11 @@
     char *last_upstream; /* for the log */
     uint64_t sent_ms;
     uint64_t first_ms; /* 0: no byte of an answer yet */
-    uint64_t heard_ms;
-    uint64_t event_ms;     /* when an event last went out; 0: none yet */
-    uint32_t worst_gap_ms; /* between two events that went out */
-    uint64_t last_gap_ms;  /* between the last two */
-    char *gap_upstream;    /* that made it, for the log */
+    uint64_t last_data_ms;
+    uint64_t last_event_ms; /* when an event last went out; 0: none yet */
+    uint32_t max_gap_ms;    /* between two events that went out */
+    uint64_t last_gap_ms;   /* between the last two */
+    char *gap_upstream;     /* that made it, for the log */
 
     uint32_t sends; /* that reached an upstream */
     uint32_t runs;  /* that may have run */
@@ -122,9 +125,9 @@
     uint16_t kept_status; /* of the kept failure */
     bool lacks_model;     /* waiting: nobody holds even the model */
     bool not_run;         /* the upstream says so */
-    bool takes_stream;    /* events of the call go to the caller */
+    bool forwards_events; /* events of the call go to the caller */
     bool streaming;       /* the stream's head is out */
-    bool paid;            /* the next send is already counted as a repeat */
+    bool retry_counted;   /* the next send is already counted as a repeat */
 } Req;
 
 typedef struct {
@@ -133,9 +136,9 @@
 } Deaths;
 
 typedef struct {
-    uint64_t said_ms;
+    uint64_t reported_ms;
     uint32_t wait_ms;
-} Wait;
+} WaitEstimate;
 
 struct Gw {
     GwParams params;
@@ -154,17 +157,17 @@
     GHashTable *hurried; /* of these: late after a load from a disk */
     GHashTable *refused; /* model -> count: too many waited */
     GHashTable *began;   /* upstream -> count of answers that began there */
-    GHashTable *waits;   /* model -> Wait */
-    GHashTable *deaths;  /* digest -> Deaths */
-    Hist *whole_us;      /* from a request's arrival to its answer's end */
-    Hist *first_us;      /* ... to its first byte */
-    uint64_t placer_ms;  /* when the placing VM was last heard */
-    uint64_t orders_ms;  /* when it gives its first order */
+    GHashTable *wait_estimates; /* model -> Wait */
+    GHashTable *deaths;         /* digest -> Deaths */
+    Hist *answer_us;         /* from a request's arrival to its answer's end */
+    Hist *first_byte_us;     /* ... to its first byte */
+    uint64_t leader_ms;      /* when the placing VM was last heard */
+    uint64_t first_order_ms; /* when it gives its first order */
     BgRandom rng;
-    bool closed;    /* takes no more requests */
-    bool behind;    /* a newer configuration than ours is known to exist */
-    bool stale;     /* keys may have been taken away unheard */
-    bool knows_all; /* upstreams */
+    bool closed; /* takes no more requests */
+    bool behind; /* a newer configuration than ours is known to exist */
+    bool stale;  /* keys may have been taken away unheard */
+    bool upstreams_complete; /* upstreams */
 };
 
 static void try_send(Req *q);
@@ -215,8 +218,8 @@
     }
     bg_count("gateway_sends_total", q->sends + (q->ut != NULL));
     if (strcmp(outcome, "answered") == 0) {
-        hist_add(q->gw->whole_us, (now_ms - q->arrival_ms) * 1000);
-        hist_add(q->gw->first_us, (q->first_ms - q->arrival_ms) * 1000);
+        hist_add(q->gw->answer_us, (now_ms - q->arrival_ms) * 1000);
+        hist_add(q->gw->first_byte_us, (q->first_ms - q->arrival_ms) * 1000);
     }
 }
 
@@ -226,7 +229,7 @@
 {
     bool first = q->route->objective_ms && q->first_ms &&
                  q->first_ms - q->arrival_ms > q->route->objective_ms;
-    bool pause = q->route->gap_ms && q->worst_gap_ms > q->route->gap_ms;
+    bool pause = q->route->gap_ms && q->max_gap_ms > q->route->gap_ms;
     return first && pause ? "first byte and pause"
            : first        ? "first byte"
            : pause        ? "pause"
@@ -253,8 +256,8 @@
     if (q->first_ms) {
         jl_number(l, "first_ms", (int64_t)(q->first_ms - q->arrival_ms));
     }
-    if (q->worst_gap_ms) {
-        jl_number(l, "gap_ms", q->worst_gap_ms);
+    if (q->max_gap_ms) {
+        jl_number(l, "gap_ms", q->max_gap_ms);
         jl_text(l, "gap_upstream", q->gap_upstream);
     }
     jl_text(l, "late", q->route ? describe_lateness(q) : NULL);
@@ -286,7 +289,7 @@
 
 /* The call is over; its upstream is judged by END. */
 static void
-release(Req *q, UtEnd end)
+finish_call(Req *q, UtEnd end)
 {
     if (!q->ut) {
         return;
@@ -301,12 +304,12 @@
 }
 
 static void
-drop_call(Req *q, UtEnd end)
+cancel_call(Req *q, UtEnd end)
 {
     if (q->hc) {
         ht_cancel_call(q->hc);
     }
-    release(q, end);
+    finish_call(q, end);
 }
 
 static void
@@ -326,7 +329,7 @@
 
 /* Q has not run and never will: its workspace may ask for as much again. */
 static void
-give_back(Req *q)
+refund_limit(Req *q)
 {
     if (q->cost > 0) {
         wl_give_back(q->gw->limits, bg_boot_ms(), q->workspace, q->cost);
@@ -340,9 +343,9 @@
 {
     log_end(q, name_outcome(status), status, why);
     if (status == 503) {
-        give_back(q);
+        refund_limit(q);
     }
-    drop_call(q, UT_END_NEUTRAL);
+    cancel_call(q, UT_END_NEUTRAL);
     HtExchange *x = q->x;
     if (q->streaming) {
         /* Its head is out: only an end that is visibly not whole is left. */
@@ -378,7 +381,7 @@
         g_autoptr(GByteArray) body = g_steal_pointer(&q->kept_body);
         uint16_t status = q->kept_status;
         log_end(q, "passed-on", status, why);
-        drop_call(q, UT_END_NEUTRAL);
+        cancel_call(q, UT_END_NEUTRAL);
         free_req(q);
         send_whole(x, status, head, body);
         return;
@@ -387,7 +390,7 @@
         answer(q, 503, retry_ms ? retry_ms : RETRY_SOON_MS, why);
     }
     else {
-        answer(q, bg_boot_ms() >= q->final_ms ? 504 : 502, 0, why);
+        answer(q, bg_boot_ms() >= q->answer_by_ms ? 504 : 502, 0, why);
     }
 }
 
@@ -430,7 +433,7 @@
         g_string_append_printf(head, "%s: %lld\r\n", w->last_event,
                                (long long)q->last_event);
     }
-    uint64_t left_ms = q->final_ms > now_ms ? q->final_ms - now_ms : 1;
+    uint64_t left_ms = q->answer_by_ms > now_ms ? q->answer_by_ms - now_ms : 1;
     g_string_append_printf(head, "%s: %llu\r\n", w->deadline_ms,
                            (unsigned long long)left_ms);
     append_line(head, w->expected_upstream, ut_get_id(q->ut));
@@ -463,11 +466,11 @@
     g_free(q->last_upstream);
     q->last_upstream = g_strdup(ut_get_id(ut));
     q->sent_ms = now_ms;
-    q->heard_ms = now_ms;
+    q->last_data_ms = now_ms;
     q->first_ms = 0;
     q->last_gap_ms = 0;
     q->not_run = false;
-    q->takes_stream = false;
+    q->forwards_events = false;
     q->status = 0;
     g_string_truncate(q->partial, 0);
     ut_start(ut);
@@ -477,7 +480,7 @@
         .connect_ms = q->gw->params.connect_ms,
         .match_name = q->gw->wire->attempt_id,
         .match_value = q->call.attempt_id,
-        .max_idle_ms = may_repeat(q) ? 0 : MAX_IDLE_ONCE_MS,
+        .max_idle_ms = may_repeat(q) ? 0 : MAX_IDLE_NO_REPEAT_MS,
     };
     if (!q->call.attempt_id) {
         req.match_name = NULL;
@@ -492,7 +495,7 @@
         jl_number(l, "running", ut_get_running(ut));
         jl_number(l, "load", (int64_t)ut_get_load(ut, now_ms));
         jl_number(l, "tokens", q->call.prompt_tokens);
-        jl_number(l, "left_ms", (int64_t)(q->final_ms - now_ms));
+        jl_number(l, "left_ms", (int64_t)(q->answer_by_ms - now_ms));
         jl_end(l);
     }
 }
@@ -501,40 +504,43 @@
 
 /* Until the placing VM orders anything; 0: it does. */
 static uint32_t
-get_placer_wait_ms(const Gw *g, uint64_t now_ms)
+get_leader_wait_ms(const Gw *g, uint64_t now_ms)
 {
-    if (now_ms > g->placer_ms + PLACER_LOST_MS) {
-        uint64_t back_ms = g->placer_ms + PLACER_MOVES_MS;
-        return back_ms > now_ms + PLACER_BACK_MS ? (uint32_t)(back_ms - now_ms)
-                                                 : PLACER_BACK_MS;
+    if (now_ms > g->leader_ms + LEADER_LOST_MS) {
+        uint64_t back_ms = g->leader_ms + LEADER_CHANGE_MS;
+        return back_ms > now_ms + LEADER_OVERDUE_MS
+                   ? (uint32_t)(back_ms - now_ms)
+                   : LEADER_OVERDUE_MS;
     }
-    return g->orders_ms > now_ms ? (uint32_t)(g->orders_ms - now_ms) : 0;
+    return g->first_order_ms > now_ms ? (uint32_t)(g->first_order_ms - now_ms)
+                                      : 0;
 }
 
 static uint32_t
 get_wait_ms(const Req *q, uint64_t now_ms)
 {
-    uint32_t placer_ms = get_placer_wait_ms(q->gw, now_ms);
-    const Wait *w = g_hash_table_lookup(q->gw->waits, q->query.model);
-    if (!w || now_ms - w->said_ms > WAIT_LIFE_MS) {
-        return placer_ms;
+    uint32_t leader_ms = get_leader_wait_ms(q->gw, now_ms);
+    const WaitEstimate *w =
+        g_hash_table_lookup(q->gw->wait_estimates, q->query.model);
+    if (!w || now_ms - w->reported_ms > ESTIMATE_MAX_AGE_MS) {
+        return leader_ms;
     }
-    uint64_t gone_ms = now_ms - w->said_ms;
+    uint64_t gone_ms = now_ms - w->reported_ms;
     uint32_t load_ms =
         w->wait_ms > gone_ms ? w->wait_ms - (uint32_t)gone_ms : 1;
-    return placer_ms + load_ms;
+    return leader_ms + load_ms;
 }
 
 static void
 wait_for(Req *q, uint64_t now_ms, const char *what)
 {
     if (q->gw->closed) {
-        give_up(q, RETRY_STOP_MS, "the gateway stops");
+        give_up(q, RETRY_STOPPING_MS, "the gateway stops");
         return;
     }
-    bool begins = q->state != REQ_WAITING || !q->waits_for;
+    bool begins = q->state != REQ_WAITING || !q->waiting_for;
     q->state = REQ_WAITING;
-    q->waits_for = what;
+    q->waiting_for = what;
     q->waited_for = q->waited_for ? q->waited_for : what;
     if (begins && q->query.model) {
         JlLine *l = jl_begin("request-waits");
@@ -544,20 +550,21 @@
         jl_text(l, "adapter", q->call.adapter);
         jl_number(l, "estimate_ms", get_wait_ms(q, now_ms));
         jl_end(l);
-        q->gw->out.wanted(q->gw->out.ctx);
+        q->gw->out.demand_changed(q->gw->out.ctx);
     }
 }
 
 /* The caller leaves then if it has heard nothing more. */
 static uint64_t
-get_leave_time(const Req *q)
+get_disconnect_ms(const Req *q)
 {
     if (!q->streaming) {
-        return q->first_by_ms;
+        return q->first_byte_by_ms;
     }
-    return q->route->patience_ms
-               ? MIN(q->final_ms, q->event_ms + q->route->patience_ms)
-               : q->final_ms;
+    return q->route->event_timeout_ms
+               ? MIN(q->answer_by_ms,
+                     q->last_event_ms + q->route->event_timeout_ms)
+               : q->answer_by_ms;
 }
 
 /* A model that comes too late is refused now, with the time at which it
@@ -566,7 +573,7 @@
 wait_for_model(Req *q, uint64_t now_ms, const char *what)
 {
     uint32_t wait_ms = get_wait_ms(q, now_ms);
-    if (wait_ms && now_ms + wait_ms + SERVE_MS > get_leave_time(q)) {
+    if (wait_ms && now_ms + wait_ms + MIN_SERVE_MS > get_disconnect_ms(q)) {
         give_up(q, wait_ms, "model can't be loaded in time");
         return;
     }
@@ -575,14 +582,15 @@
 
 /* What has run already is sent on, however long that takes. */
 static uint32_t
-get_most_wait_ms(const Req *q, uint64_t now_ms)
+get_max_wait_ms(const Req *q, uint64_t now_ms)
 {
     if (q->runs > 0 || q->route->objective_ms == 0) {
         return 0;
     }
-    uint64_t left_ms = q->first_by_ms - now_ms;
+    uint64_t left_ms = q->first_byte_by_ms - now_ms;
     return (uint32_t)MAX(
-        MIN(q->route->objective_ms * QUEUE_OBJECTIVES, (double)left_ms), 1);
+        MIN(q->route->objective_ms * MAX_QUEUE_OBJECTIVES, (double)left_ms),
+        1);
 }
 
 /* It can't begin in time behind those that wait: refused now, to come back
@@ -602,11 +610,12 @@
 /* The upstream that could serve it may be among those that this process, which
    has just started, doesn't know yet. */
 static bool
-may_be_unknown(const Req *q, uint64_t now_ms)
+may_be_unlisted(const Req *q, uint64_t now_ms)
 {
     const Gw *g = q->gw;
-    return !g->knows_all && now_ms < g->config_ms + LIST_MS &&
-           now_ms < q->arrival_ms + START_WAIT_MS;
+    return !g->upstreams_complete &&
+           now_ms < g->config_ms + FIRST_LIST_TIMEOUT_MS &&
+           now_ms < q->arrival_ms + START_MAX_WAIT_MS;
 }
 
 static void
@@ -620,14 +629,15 @@
 try_send(Req *q)
 {
     uint64_t now_ms = bg_boot_ms();
-    if (now_ms >= q->final_ms || (!q->streaming && now_ms >= q->first_by_ms)) {
+    if (now_ms >= q->answer_by_ms ||
+        (!q->streaming && now_ms >= q->first_byte_by_ms)) {
         give_up(q, RETRY_SOON_MS, "deadline");
         return;
     }
     /* It left while it waited: nothing is begun for it. */
     if (ht_is_gone(q->x)) {
         q->state = REQ_WAITING;
-        q->waits_for = "nothing: the caller is gone";
+        q->waiting_for = "nothing: the caller is gone";
         return;
     }
     if (q->sends >= MAX_SENDS) {
@@ -635,9 +645,9 @@
         return;
     }
     Ut *ut = NULL;
-    q->query.most_wait_ms = get_most_wait_ms(q, now_ms);
+    q->query.most_wait_ms = get_max_wait_ms(q, now_ms);
     UtAnswer found = ut_choose(q->gw->upstreams, now_ms, &q->query, &ut);
-    if (!ut && may_be_unknown(q, now_ms)) {
+    if (!ut && may_be_unlisted(q, now_ms)) {
         wait_for_list(q, now_ms);
         return;
     }
@@ -646,12 +656,12 @@
         refuse_busy(q, now_ms, ut);
         return;
     case UT_FOUND:
-        if (q->sends > 0 && !q->paid &&
+        if (q->sends > 0 && !q->retry_counted &&
             !rb_take(q->gw->budget, now_ms, q->service)) {
             give_up(q, RETRY_LATER_MS, "no budget for a repeat");
             return;
         }
-        q->paid = false;
+        q->retry_counted = false;
         send_to(q, ut, now_ms);
         return;
     case UT_COLD:
@@ -718,7 +728,7 @@
     const GwWire *w = q->gw->wire;
     uint64_t now_ms = bg_boot_ms();
     q->first_ms = now_ms;
-    q->heard_ms = now_ms;
+    q->last_data_ms = now_ms;
     q->status = head->status;
     q->not_run = head->status == 421 || ht_find_header(head, w->not_run);
     if (q->query.model && !q->not_run) {
@@ -732,7 +742,7 @@
     if (!q->streaming) {
         copy_headers(head, q->head);
     }
-    q->takes_stream =
+    q->forwards_events =
         q->route->kind == DEP_STREAM && head->status == 200 && !q->not_run;
 }
 
@@ -776,20 +786,20 @@
 note_event(Req *q)
 {
     uint64_t now_ms = bg_boot_ms();
-    uint64_t gap_ms = q->event_ms ? now_ms - q->event_ms : 0;
-    if (gap_ms > q->worst_gap_ms) {
-        q->worst_gap_ms = (uint32_t)gap_ms;
+    uint64_t gap_ms = q->last_event_ms ? now_ms - q->last_event_ms : 0;
+    if (gap_ms > q->max_gap_ms) {
+        q->max_gap_ms = (uint32_t)gap_ms;
         g_free(q->gap_upstream);
         q->gap_upstream = g_strdup(ut_get_id(q->ut));
     }
     q->last_gap_ms = gap_ms;
-    q->event_ms = now_ms;
+    q->last_event_ms = now_ms;
 }
 
 /* Only whole events are passed on, so that after a break the next upstream
    goes on exactly behind what the caller has. */
 static void
-pass_events(Req *q)
+forward_events(Req *q)
 {
     size_t len;
     while ((len = find_event_end(q->partial)) > 0) {
@@ -809,10 +819,10 @@
 {
     (void)call;
     Req *q = ctx;
-    q->heard_ms = bg_boot_ms();
-    if (q->takes_stream) {
+    q->last_data_ms = bg_boot_ms();
+    if (q->forwards_events) {
         g_string_append_len(q->partial, data, (gssize)len);
-        pass_events(q);
+        forward_events(q);
         return;
     }
     g_byte_array_append(q->body, (const guint8 *)data, (guint)len);
@@ -824,18 +834,18 @@
     start_stream(q);
     ht_write_answer(q->x, q->partial->str, q->partial->len);
     log_end(q, "answered", q->status, NULL);
-    release(q, UT_END_GOOD);
+    finish_call(q, UT_END_GOOD);
     HtExchange *x = q->x;
     free_req(q);
     ht_end_answer(x);
 }
 
 static void
-pass_on(Req *q)
+forward_answer(Req *q)
 {
     HtExchange *x = q->x;
     log_end(q, "answered", q->status, NULL);
-    release(q, q->status >= 500 ? UT_END_FAILED : UT_END_GOOD);
+    finish_call(q, q->status >= 500 ? UT_END_FAILED : UT_END_GOOD);
     uint16_t status = q->status;
     g_autoptr(GString) head =
         g_string_new_len(q->head->str, (gssize)q->head->len);
@@ -851,7 +861,7 @@
 {
     const Deaths *d = g_hash_table_lookup(q->gw->deaths, &q->digest);
     return may_repeat(q) && q->runs < q->route->attempts &&
-           now_ms + 20 < q->final_ms &&
+           now_ms + 20 < q->answer_by_ms &&
            !(d && g_hash_table_size(d->upstreams) > 1);
 }
 
@@ -863,7 +873,7 @@
     jl_text(l, "upstream", ut_get_id(q->ut));
     jl_number(l, "status", q->status);
     jl_number(l, "after_ms", (int64_t)(now_ms - q->sent_ms));
-    jl_number(l, "left_ms", (int64_t)(q->final_ms - q->sent_ms));
+    jl_number(l, "left_ms", (int64_t)(q->answer_by_ms - q->sent_ms));
     jl_text(l, "model", q->query.model);
     jl_text(l, "adapter", q->query.adapter);
     jl_end(l);
@@ -881,11 +891,11 @@
         /* It lacks the model, or an order on it is under way. */
         ut_note_absent(q->gw->upstreams, ut, now_ms, q->query.model,
                        q->query.adapter);
-        release(q, UT_END_NEUTRAL);
+        finish_call(q, UT_END_NEUTRAL);
     }
     else {
         g_ptr_array_add(q->tried, ut);
-        release(q, other ? UT_END_NEUTRAL : UT_END_SHED);
+        finish_call(q, other ? UT_END_NEUTRAL : UT_END_SHED);
     }
     try_send(q);
 }
@@ -905,7 +915,7 @@
     jl_number(l, "last_event", q->last_event);
     jl_end(l);
     g_ptr_array_add(q->tried, ut);
-    release(q, end);
+    finish_call(q, end);
     if (!may_run_again(q, now_ms)) {
         give_up(q, 0, why);
         return;
@@ -921,7 +931,7 @@
     uint64_t now_ms = bg_boot_ms();
     q->runs++;
     if (q->status == 504 || !may_run_again(q, now_ms)) {
-        pass_on(q);
+        forward_answer(q);
         return;
     }
     q->sends++;
@@ -935,7 +945,7 @@
     q->head = g_string_new(NULL);
     q->body = g_byte_array_new();
     g_ptr_array_add(q->tried, q->ut);
-    release(q, UT_END_FAILED);
+    finish_call(q, UT_END_FAILED);
     try_send(q);
 }
 
@@ -949,17 +959,18 @@
     if (end == HT_NOT_SENT) {
         g_ptr_array_add(q->tried, q->ut);
         if (!ut_is_away(q->ut)) {
-            q->gw->out.unreached(q->gw->out.ctx, ut_get_id(q->ut));
+            q->gw->out.upstream_unreachable(q->gw->out.ctx, ut_get_id(q->ut));
         }
-        release(q, UT_END_DEAD);
-        q->paid = q->sends > 0; /* the repeat did not reach the service */
+        finish_call(q, UT_END_DEAD);
+        q->retry_counted =
+            q->sends > 0; /* the repeat did not reach the service */
         try_send(q);
         return;
     }
     if (end == HT_DONE && q->not_run) {
         handle_not_run(q, now_ms);
     }
-    else if (end == HT_DONE && q->takes_stream) {
+    else if (end == HT_DONE && q->forwards_events) {
         q->runs++;
         finish_stream(q);
     }
@@ -972,10 +983,10 @@
     }
     else if (end == HT_DONE) {
         q->runs++;
-        pass_on(q);
+        forward_answer(q);
     }
     else {
-        q->gw->out.died(q->gw->out.ctx, q->digest, ut_get_id(q->ut));
+        q->gw->out.upstream_died(q->gw->out.ctx, q->digest, ut_get_id(q->ut));
         handle_failure(q, UT_END_FAILED,
                        end == HT_GARBLED ? "garbled" : "broken off");
     }
@@ -994,8 +1005,8 @@
 
 /* TEXT: what the caller is told. */
 static void
-refuse_at_door(HtExchange *x, uint16_t status, uint32_t retry_ms,
-               const char *text)
+refuse_unadmitted(HtExchange *x, uint16_t status, uint32_t retry_ms,
+                  const char *text)
 {
     g_autoptr(GString) head = g_string_new(NULL);
     if (*text) {
@@ -1017,12 +1028,12 @@
                          : 1;
         left_ms = left_ms ? MIN(left_ms, d) : d;
     }
-    q->final_ms = q->arrival_ms + (left_ms ? left_ms : NO_LIMIT_MS);
-    q->first_by_ms = q->final_ms;
-    if (q->route->patience_ms) {
-        q->first_by_ms =
-            MIN(q->final_ms,
-                q->arrival_ms + q->route->patience_ms - DEADLINE_MARGIN_MS);
+    q->answer_by_ms = q->arrival_ms + (left_ms ? left_ms : DEFAULT_TIMEOUT_MS);
+    q->first_byte_by_ms = q->answer_by_ms;
+    if (q->route->event_timeout_ms) {
+        q->first_byte_by_ms =
+            MIN(q->answer_by_ms, q->arrival_ms + q->route->event_timeout_ms -
+                                     DEADLINE_MARGIN_MS);
     }
 }
 
@@ -1093,7 +1104,7 @@
 }
 
 static bool
-is_deadly(const Gw *g, uint64_t digest)
+is_poison(const Gw *g, uint64_t digest)
 {
     const Deaths *d = g_hash_table_lookup(g->deaths, &digest);
     return d && g_hash_table_size(d->upstreams) >= g->params.death_limit;
@@ -1123,25 +1134,25 @@
     const char *text = g->wire->read_key(head);
     if (!text) {
         log_key(g, head, NULL, "not one key");
-        refuse_at_door(x, 401, 0, "one key is needed\n");
+        refuse_unadmitted(x, 401, 0, "one key is needed\n");
         return NULL;
     }
     DepKey key = dep_digest_key(text);
     const DepWorkspace *w = dep_find_workspace(g->config, &key);
     if (g->stale) {
         log_key(g, head, &key, "the configuration may be old");
-        refuse_at_door(x, 503, RETRY_LATER_MS, "keys can't be checked\n");
+        refuse_unadmitted(x, 503, RETRY_LATER_MS, "keys can't be checked\n");
         return NULL;
     }
     if (!w && g->behind) {
         /* The newer configuration may have brought it. */
         log_key(g, head, &key, "not known yet");
-        refuse_at_door(x, 503, RETRY_SOON_MS, "keys can't be checked\n");
+        refuse_unadmitted(x, 503, RETRY_SOON_MS, "keys can't be checked\n");
         return NULL;
     }
     if (!w) {
         log_key(g, head, &key, "unknown");
-        refuse_at_door(x, 401, 0, "unknown key\n");
+        refuse_unadmitted(x, 401, 0, "unknown key\n");
     }
     return w;
 }
@@ -1195,8 +1206,8 @@
     jl_number(l, "waited_ms", (int64_t)(bg_boot_ms() - ht_get_arrival_ms(x)));
     jl_end(l);
     bg_count("gateway_unready_total", 1);
-    refuse_at_door(x, 503, g->closed ? RETRY_STOP_MS : RETRY_SOON_MS,
-                   "not ready\n");
+    refuse_unadmitted(x, 503, g->closed ? RETRY_STOPPING_MS : RETRY_SOON_MS,
+                      "not ready\n");
 }
 
 static void
@@ -1215,11 +1226,11 @@
         jl_text(l, "path", path);
         jl_number(l, "version", (int64_t)g->config->version);
         jl_end(l);
-        refuse_at_door(x, 404, 0, "no such route\n");
+        refuse_unadmitted(x, 404, 0, "no such route\n");
         return;
     }
     const DepWorkspace *workspace = NULL;
-    if (g->config->asks_keys && !route->is_public) {
+    if (g->config->requires_keys && !route->is_public) {
         workspace = admit_key(g, x);
         if (!workspace) {
             return;
@@ -1233,7 +1244,7 @@
         return;
     }
     note_arrival(q);
-    if (is_deadly(g, q->digest)) {
+    if (is_poison(g, q->digest)) {
         answer(q, 503, RETRY_LATER_MS * 10, "upstreams ended under it");
         return;
     }
@@ -1246,7 +1257,8 @@
     if (g->config && !g->closed) {
         admit(g, x);
     }
-    else if (g->closed || bg_boot_ms() >= g->start_ms + START_MS) {
+    else if (g->closed ||
+             bg_boot_ms() >= g->start_ms + FIRST_CONFIG_TIMEOUT_MS) {
         refuse_unready(g, x);
     }
     else {
@@ -1260,7 +1272,7 @@
 {
     HtExchange *x;
     while ((x = g_queue_peek_head(&g->early)) &&
-           (g->closed || now_ms >= ht_get_arrival_ms(x) + START_WAIT_MS)) {
+           (g->closed || now_ms >= ht_get_arrival_ms(x) + START_MAX_WAIT_MS)) {
         g_queue_pop_head(&g->early);
         refuse_unready(g, x);
     }
@@ -1283,18 +1295,19 @@
         g_queue_remove(&g->early, x);
         return;
     }
-    log_end(q, "caller-gone", 0, q->state == REQ_WAITING ? q->waits_for : "");
+    log_end(q, "caller-gone", 0,
+            q->state == REQ_WAITING ? q->waiting_for : "");
     if (q->state == REQ_WAITING && q->runs == 0) {
-        give_back(q);
+        refund_limit(q);
     }
-    drop_call(q, UT_END_NEUTRAL);
+    cancel_call(q, UT_END_NEUTRAL);
     free_req(q);
 }
 
 /* ---- time --------------------------------------------------------------- */
 
 static bool
-has_other(const Req *q, uint64_t now_ms)
+has_better_upstream(const Req *q, uint64_t now_ms)
 {
     Ut *other = NULL;
     g_ptr_array_add(q->tried, q->ut);
@@ -1308,8 +1321,9 @@
     bool lives = ut_is_alive(q->ut, now_ms);
     double here = ut_get_load(q->ut, now_ms);
     double there = ut_get_load(other, now_ms);
-    return lives ? there + LESS_REQUESTS < here * LESS_LOAD
-                 : there < here + MORE_REQUESTS;
+    return lives ? there + BUSY_SWITCH_FEWER_REQUESTS <
+                       here * BUSY_SWITCH_LOAD_RATIO
+                 : there < here + DEAD_SWITCH_MORE_REQUESTS;
 }
 
 static bool
@@ -1319,29 +1333,31 @@
         return false;
     }
     bool stream = q->route->kind == DEP_STREAM;
-    if (q->first_ms && stream && q->takes_stream) {
-        uint64_t most = q->route->gap_ms
-                            ? (uint64_t)q->route->gap_ms * SILENT_GAPS
-                            : SILENT_GAP_MS;
-        return now_ms - q->heard_ms > most && has_other(q, now_ms);
+    if (q->first_ms && stream && q->forwards_events) {
+        uint64_t silent_ms = q->route->gap_ms
+                                 ? (uint64_t)q->route->gap_ms * SILENT_GAPS
+                                 : SILENT_GAP_MS;
+        return now_ms - q->last_data_ms > silent_ms &&
+               has_better_upstream(q, now_ms);
     }
     uint32_t usual = ut_get_usual_ms(q->gw->upstreams, q->ut, &q->query);
-    uint64_t most = MAX((uint64_t)usual * SILENT_FACTOR,
-                        stream ? SILENT_MIN_STREAM_MS : SILENT_MIN_PLAIN_MS);
+    uint64_t silent_ms =
+        MAX((uint64_t)usual * SILENT_FACTOR,
+            stream ? SILENT_MIN_STREAM_MS : SILENT_MIN_PLAIN_MS);
     if (stream) {
-        most = MAX(most, q->route->objective_ms * SILENT_OBJECTIVE);
+        silent_ms = MAX(silent_ms, q->route->objective_ms * SILENT_OBJECTIVE);
     }
-    return now_ms - q->sent_ms > most && has_other(q, now_ms);
+    return now_ms - q->sent_ms > silent_ms && has_better_upstream(q, now_ms);
 }
 
 static void
-look_at(Req *q, uint64_t now_ms)
+check_request(Req *q, uint64_t now_ms)
 {
-    if (now_ms >= q->final_ms) {
+    if (now_ms >= q->answer_by_ms) {
         if (q->state == REQ_SENT) {
             bool sent = q->hc && ht_was_sent(q->hc);
             q->runs += sent;
-            drop_call(q, sent ? UT_END_FAILED : UT_END_DEAD);
+            cancel_call(q, sent ? UT_END_FAILED : UT_END_DEAD);
         }
         give_up(q, RETRY_SOON_MS, "deadline");
     }
@@ -1350,7 +1366,7 @@
     }
     else if (is_silent(q, now_ms) &&
              rb_take(q->gw->budget, now_ms, q->service)) {
-        q->paid = true;
+        q->retry_counted = true;
         ht_cancel_call(q->hc);
         q->hc = NULL;
         ht_drop_kept(q->gw->pool, ut_get_address(q->ut));
@@ -1366,12 +1382,12 @@
     GList *next;
     for (GList *l = g->reqs.head; l; l = next) {
         next = l->next;
-        look_at(l->data, now_ms);
+        check_request(l->data, now_ms);
     }
 }
 
 void
-gw_stop_taking(Gw *g)
+gw_stop_accepting(Gw *g)
 {
     g->closed = true;
 }
@@ -1404,19 +1420,20 @@
 /* ---- what others tell --------------------------------------------------- */
 
 void
-gw_on_placer(Gw *g, uint64_t now_ms, uint32_t rest_ms)
+gw_on_leader(Gw *g, uint64_t now_ms, uint32_t guard_ms)
 {
-    g->placer_ms = now_ms;
-    g->orders_ms = now_ms + rest_ms;
+    g->leader_ms = now_ms;
+    g->first_order_ms = now_ms + guard_ms;
 }
 
 void
-gw_on_wait(Gw *g, uint64_t now_ms, const char *model, uint32_t wait_ms)
+gw_on_wait_estimate(Gw *g, uint64_t now_ms, const char *model,
+                    uint32_t wait_ms)
 {
-    Wait *w = g_new0(Wait, 1);
-    w->said_ms = now_ms;
+    WaitEstimate *w = g_new0(WaitEstimate, 1);
+    w->reported_ms = now_ms;
     w->wait_ms = wait_ms;
-    g_hash_table_replace(g->waits, g_strdup(model), w);
+    g_hash_table_replace(g->wait_estimates, g_strdup(model), w);
 }
 
 static void
@@ -1431,7 +1448,7 @@
 is_old_death(gpointer key, gpointer value, gpointer now_ms)
 {
     (void)key;
-    return ((Deaths *)value)->last_ms + DEATH_LIFE_MS < *(uint64_t *)now_ms;
+    return ((Deaths *)value)->last_ms + DEATH_KEEP_MS < *(uint64_t *)now_ms;
 }
 
 void
@@ -1495,9 +1512,9 @@
     const DepRoute *r = q->route;
     if (!q->first_ms) {
         return r->objective_ms &&
-               now_ms - q->sent_ms > r->objective_ms * SLOW_WAIT;
+               now_ms - q->sent_ms > r->objective_ms * SLOW_FIRST_BYTE;
     }
-    uint64_t since_ms = MAX(q->event_ms, q->first_ms);
+    uint64_t since_ms = MAX(q->last_event_ms, q->first_ms);
     uint64_t pause_ms = MAX(now_ms - since_ms, q->last_gap_ms);
     return r->gap_ms && pause_ms > r->gap_ms * SLOW_PAUSE;
 }
@@ -1584,8 +1601,8 @@
 void
 gw_print_metrics(const Gw *g, GString *out)
 {
-    print_latency(out, "gateway_answer", g->whole_us);
-    print_latency(out, "gateway_first_byte", g->first_us);
+    print_latency(out, "gateway_answer", g->answer_us);
+    print_latency(out, "gateway_first_byte", g->first_byte_us);
 }
 
 uint32_t
@@ -1618,9 +1635,9 @@
     g->upstreams = upstreams;
     g->budget = budget;
     g->limits = limits;
-    g->placer_ms = bg_boot_ms();
-    g->whole_us = hist_create();
-    g->first_us = hist_create();
+    g->leader_ms = bg_boot_ms();
+    g->answer_us = hist_create();
+    g->first_byte_us = hist_create();
     g->start_ms = bg_boot_ms();
     g_queue_init(&g->early);
     g_queue_init(&g->reqs);
@@ -1628,7 +1645,8 @@
     g->hurried = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g->refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g->began = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g->waits = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    g->wait_estimates =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     g->deaths = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
                                       free_deaths);
     bg_seed_random(&g->rng, params->seed);
@@ -1641,7 +1659,7 @@
     Req *q;
     while ((q = g_queue_peek_head(&g->reqs))) {
         ht_set_user(q->x, NULL);
-        drop_call(q, UT_END_NEUTRAL);
+        cancel_call(q, UT_END_NEUTRAL);
         free_req(q);
     }
     g_queue_clear(&g->early);
@@ -1650,10 +1668,10 @@
     g_hash_table_destroy(g->hurried);
     g_hash_table_destroy(g->refused);
     g_hash_table_destroy(g->began);
-    g_hash_table_destroy(g->waits);
+    g_hash_table_destroy(g->wait_estimates);
     g_hash_table_destroy(g->deaths);
-    hist_destroy(g->whole_us);
-    hist_destroy(g->first_us);
+    hist_destroy(g->answer_us);
+    hist_destroy(g->first_byte_us);
     g_free(g);
 }
 
@@ -1668,13 +1686,13 @@
 }
 
 void
-gw_on_knowledge(Gw *g, bool whole)
+gw_set_upstreams_complete(Gw *g, bool complete)
 {
-    g->knows_all = whole;
+    g->upstreams_complete = complete;
 }
 
 void
-gw_on_trust(Gw *g, bool behind, bool stale)
+gw_set_config_freshness(Gw *g, bool behind, bool stale)
 {
     g->behind = behind;
     g->stale = stale;
--- a/src/gw.h
+++ b/src/gw.h
@@ -52,11 +52,11 @@
 typedef struct {
     void *ctx;
     /* Callers begin to wait for a model: tell the placing VM soon. */
-    void (*wanted)(void *ctx);
+    void (*demand_changed)(void *ctx);
     /* An upstream broke off under the request with this digest. */
-    void (*died)(void *ctx, uint64_t request, const char *upstream);
+    void (*upstream_died)(void *ctx, uint64_t request, const char *upstream);
     /* No connection to an upstream that could be reached before. */
-    void (*unreached)(void *ctx, const char *upstream);
+    void (*upstream_unreachable)(void *ctx, const char *upstream);
 } GwOutput;
 
 typedef struct Gw Gw;
@@ -72,17 +72,18 @@
 /* Whether the configuration in force may be older than the newest one: BEHIND,
    a newer one is known to exist; STALE, nothing was heard of it for so long
    that keys may have been taken away, and none is let in. */
-void gw_on_trust(Gw *g, bool behind, bool stale);
+void gw_set_config_freshness(Gw *g, bool behind, bool stale);
 /* Whether all upstreams are known: what none of the known ones can serve waits
    a little for the others. */
-void gw_on_knowledge(Gw *g, bool whole);
+void gw_set_upstreams_complete(Gw *g, bool complete);
 /* Upstreams or what they hold changed: what waits is looked at again. */
 void gw_on_change(Gw *g);
 void gw_on_tick(Gw *g, uint64_t now_ms);
 /* The placing VM was heard; it gives its first order in REST_MS. */
-void gw_on_placer(Gw *g, uint64_t now_ms, uint32_t rest_ms);
+void gw_on_leader(Gw *g, uint64_t now_ms, uint32_t guard_ms);
 /* The placing VM's estimate for a model that is not held. */
-void gw_on_wait(Gw *g, uint64_t now_ms, const char *model, uint32_t wait_ms);
+void gw_on_wait_estimate(Gw *g, uint64_t now_ms, const char *model,
+                         uint32_t wait_ms);
 /* An upstream broke off under that request, here or elsewhere. */
 void gw_on_death(Gw *g, uint64_t now_ms, uint64_t request,
                  const char *upstream);
@@ -93,7 +94,7 @@
 
 /* The process is about to stop: what comes from now on, and what would have
    to wait, is refused, so that its caller goes to another gateway. */
-void gw_stop_taking(Gw *g);
+void gw_stop_accepting(Gw *g);
 /* The process ends: everything still open is answered now, and what comes
    from now on is refused. */
 void gw_close(Gw *g);
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -15,27 +15,28 @@
 
 #define TICK_MS 20
 #define SLOW_TICK_MS 100
-#define LATE_MS 150 /* a loop that is later than this is worth a line */
+#define LOOP_LATE_MS 150 /* a loop that is later than this is worth a line */
 #define DEMAND_MS 200
-#define PRESSED_MS 100 /* instead, while a workspace is near its limit */
+#define NEAR_LIMIT_MS 100 /* instead, while a workspace is near its limit */
 /* A call that starts to wait is told to the placing VM this soon, with what
    else comes meanwhile. */
-#define WANTED_MS 2
-#define RELAYED_WANTED_MS 6 /* for many gateways at once */
+#define DEMAND_DELAY_MS 2
+#define RELAYED_DEMAND_DELAY_MS 6 /* for many gateways at once */
 /* An unrenewed lease ends after this.  Shorter: a successor comes sooner;
    longer: placement goes on through a short outage of the store. */
-#define LEASE_MS 1500
+#define LEASE_TERM_MS 1500
 #define RENEW_MS 350
 /* An unrenewed right to order ends after this: two renewals may be lost, or
    one may take as long as a slow store needs. */
 #define ORDER_MS 1000
 /* An order's way to its upstream, and the clocks' difference in rate. */
-#define REST_MARGIN_MS 200
+#define GUARD_MARGIN_MS 200
 /* A VM with this share of a core claims the lease at once, smaller ones up to
    so much later. */
 #define LARGE_CPU_SHARE 0.5
 #define SMALL_CLAIM_MS 400
-#define QUIET_MS 450   /* two words of the holder missing: ask the store */
+#define LEADER_QUIET_MS                                                       \
+    450                /* two words of the holder missing: ask the store */
 #define CONNECT_MS 250 /* data centres are 1 to 3 ms apart */
 #define DEATH_LIMIT 3
 /* The balancer asks once a second and takes a VM out after two misses; until
@@ -45,7 +46,7 @@
    and the answers have a moment to leave. */
 #define CLOSE_MARGIN_MS 1000
 #define GRACE_MARGIN_MS 700
-#define SETTINGS_LOOK_S 2.
+#define SETTINGS_POLL_S 2.
 #define LOG_STOP_MS 100
 /* Gateways are counted by the placing VM; until it has told, so many are
    assumed to share the budget of repeats. */
@@ -127,7 +128,7 @@
 /* ---- requests ----------------------------------------------------------- */
 
 static void
-on_wanted_timer(struct ev_loop *loop, ev_timer *t, int events)
+on_demand_timer(struct ev_loop *loop, ev_timer *t, int events)
 {
     (void)loop;
     (void)events;
@@ -135,24 +136,25 @@
 }
 
 void
-gn_want(Gateway *g)
+gn_schedule_demand(Gateway *g)
 {
     if (!ev_is_active(&g->wanted)) {
-        uint32_t wait_ms =
-            lk_count_peers(g->links) > 0 ? RELAYED_WANTED_MS : WANTED_MS;
+        uint32_t wait_ms = lk_count_peers(g->links) > 0
+                               ? RELAYED_DEMAND_DELAY_MS
+                               : DEMAND_DELAY_MS;
         ev_timer_set(&g->wanted, wait_ms / 1000., 0.);
         ev_timer_start(g->loop, &g->wanted);
     }
 }
 
 static void
-on_wanted(void *ctx)
+on_demand_changed(void *ctx)
 {
-    gn_want(ctx);
+    gn_schedule_demand(ctx);
 }
 
 static void
-on_died(void *ctx, uint64_t request, const char *upstream)
+on_upstream_died(void *ctx, uint64_t request, const char *upstream)
 {
     Gateway *g = ctx;
     gw_on_death(g->gw, bg_boot_ms(), request, upstream);
@@ -161,7 +163,7 @@
 }
 
 static void
-on_unreached(void *ctx, const char *upstream)
+on_upstream_unreachable(void *ctx, const char *upstream)
 {
     gn_suspect(ctx, upstream);
 }
@@ -179,7 +181,7 @@
 }
 
 static void
-on_any_gone(void *ctx, HtExchange *x)
+ignore_disconnect(void *ctx, HtExchange *x)
 {
     (void)ctx;
     (void)x;
@@ -284,14 +286,14 @@
 static void
 follow_lease(Gateway *g, uint64_t now_ms)
 {
-    bool places = ls_is_holder(g->lease, now_ms);
-    if (places != g->placing) {
-        g->placing = places;
-        JlLine *l = jl_begin(places ? "lease-held" : "lease-lost");
+    bool is_leader = ls_is_holder(g->lease, now_ms);
+    if (is_leader != g->placing) {
+        g->placing = is_leader;
+        JlLine *l = jl_begin(is_leader ? "lease-held" : "lease-lost");
         jl_number(l, "token", (int64_t)ls_get_token(g->lease));
         jl_end(l);
         g->sums_due = true;
-        if (places) {
+        if (is_leader) {
             mp_begin(g->placement, now_ms);
         }
         else {
@@ -299,7 +301,7 @@
         }
         g_hash_table_remove_all(g->told);
         gn_on_lease_changed(g);
-        gn_watch_mail(g, places);
+        gn_watch_mail(g, is_leader);
     }
     if (g->placing) {
         gn_update_placement(g, now_ms);
@@ -313,7 +315,7 @@
     uint64_t since_ms = now_ms - g->stop_ms;
     uint64_t grace_ms = (uint64_t)(get_bound(g->settings, "grace_s") * 1000);
     if (since_ms >= LEAVE_MS) {
-        gw_stop_taking(g->gw);
+        gw_stop_accepting(g->gw);
     }
     if (since_ms + CLOSE_MARGIN_MS >= grace_ms) {
         gw_close(g->gw);
@@ -326,7 +328,7 @@
 }
 
 static void
-tell_state(Gateway *g, uint64_t now_ms)
+publish_state(Gateway *g, uint64_t now_ms)
 {
     if (g->placing) {
         gn_send_state(g, now_ms);
@@ -349,8 +351,9 @@
 static void
 tick_slow(Gateway *g, uint64_t now_ms)
 {
-    gw_on_trust(g->gw, g->behind_ms != 0, may_miss_revocations(g, now_ms));
-    gw_on_knowledge(g->gw, gn_knows_upstreams(g));
+    gw_set_config_freshness(g->gw, g->behind_ms != 0,
+                            may_miss_revocations(g, now_ms));
+    gw_set_upstreams_complete(g->gw, gn_knows_upstreams(g));
     ht_tick_server(g->front, now_ms);
     ht_tick_server(g->ready, now_ms);
     if (g->control) {
@@ -360,11 +363,11 @@
     gn_tick_relay(g, now_ms);
     gn_follow_store(g, now_ms);
     gn_tick_start(g, now_ms);
-    bool pressed = wl_is_pressed(g->limits);
-    if (now_ms >= g->demand_ms + (pressed ? PRESSED_MS : DEMAND_MS)) {
+    bool near_limit = wl_is_pressed(g->limits);
+    if (now_ms >= g->demand_ms + (near_limit ? NEAR_LIMIT_MS : DEMAND_MS)) {
         gn_send_demand(g);
     }
-    if (now_ms >= g->limits_ms + (pressed ? PRESSED_MS : DEMAND_MS)) {
+    if (now_ms >= g->limits_ms + (near_limit ? NEAR_LIMIT_MS : DEMAND_MS)) {
         g->limits_ms = now_ms;
         gn_follow_fleet(g, now_ms);
         gn_tell_limits(g, now_ms);
@@ -374,7 +377,7 @@
     if (now_ms >= g->state_ms + DEMAND_MS) {
         g->state_ms = now_ms;
         gn_tell_the_rest(g);
-        tell_state(g, now_ms);
+        publish_state(g, now_ms);
     }
 }
 
@@ -384,7 +387,7 @@
 note_lateness(Gateway *g, uint64_t now_ms)
 {
     uint64_t due_ms = g->tick_ms + TICK_MS;
-    bool late = g->tick_ms && now_ms > due_ms + LATE_MS;
+    bool late = g->tick_ms && now_ms > due_ms + LOOP_LATE_MS;
     g->tick_ms = now_ms;
     if (late) {
         JlLine *l = jl_begin("loop-late");
@@ -481,8 +484,8 @@
 listen_all(Gateway *g, GError **err)
 {
     HtHandler front = {g, on_front_request, on_front_gone};
-    HtHandler ready = {g, on_ready_request, on_any_gone};
-    HtHandler control = {g, on_control_request, on_any_gone};
+    HtHandler ready = {g, on_ready_request, ignore_disconnect};
+    HtHandler control = {g, on_control_request, ignore_disconnect};
     LkHandler link = {g,          gn_greet,   gn_on_frame,
                       gn_on_peer, gn_on_link, gn_on_unreached};
     g->links = lk_create(g->loop, gn_get_text(g, "link"), &link, err);
@@ -524,7 +527,8 @@
                    get_bound(g->settings, "limit_slack"), seed};
     g->limits = wl_create(&wl);
     GwParams gw = {CONNECT_MS, DEATH_LIMIT, seed};
-    GwOutput gw_out = {g, on_wanted, on_died, on_unreached};
+    GwOutput gw_out = {g, on_demand_changed, on_upstream_died,
+                       on_upstream_unreachable};
     g->gw = gw_create(&gw, &pf_gw_wire, &gw_out, g->pool, g->upstreams,
                       g->budget, g->limits);
     MpParams mp = {ini_get_bool(g->settings, "gateway", "prefetch")};
@@ -535,12 +539,12 @@
     LsParams ls = {gn_get_text(g, "name"),
                    g->process,
                    gn_get_address(g),
-                   LEASE_MS,
+                   LEASE_TERM_MS,
                    RENEW_MS,
                    ORDER_MS,
                    (uint32_t)ceil(get_bound(g->settings, "lease_ms")) +
-                       REST_MARGIN_MS,
-                   QUIET_MS,
+                       GUARD_MARGIN_MS,
+                   LEADER_QUIET_MS,
                    get_claim_delay_ms(g),
                    seed};
     LsOutput ls_out = {g, gn_read_lease, gn_append_lease, gn_on_lease_changed};
@@ -553,7 +557,7 @@
     ev_timer_init(&g->tick, on_tick, TICK_MS / 1000., TICK_MS / 1000.);
     g->tick.data = g;
     ev_timer_start(g->loop, &g->tick);
-    ev_timer_init(&g->wanted, on_wanted_timer, 0., 0.);
+    ev_timer_init(&g->wanted, on_demand_timer, 0., 0.);
     g->wanted.data = g;
     ev_timer_init(&g->place, gn_on_place_timer, 0., 0.);
     g->place.data = g;
@@ -563,7 +567,7 @@
     g->term.data = g;
     g->interrupt.data = g;
     g->hup.data = g;
-    ev_stat_init(&g->file, on_settings_changed, g->path, SETTINGS_LOOK_S);
+    ev_stat_init(&g->file, on_settings_changed, g->path, SETTINGS_POLL_S);
     g->file.data = g;
     ev_stat_start(g->loop, &g->file);
     ev_signal_start(g->loop, &g->term);
--- a/src/st.c
+++ b/src/st.c
@@ -38,37 +38,37 @@
     StWatchHandler handler;
     ev_timer timer; /* the next call */
     BgRandom rng;
-    uint64_t answered_ms; /* 0: never */
-    uint64_t asked_ms;    /* of the call that is out */
+    uint64_t last_answer_ms; /* 0: never */
+    uint64_t call_ms;        /* of the call that is out */
     bool idle;
     bool listed;
     bool listing; /* a listing is under way */
-    bool reached;
-    struct Ask *asking;      /* the call that is out, or NULL */
+    bool reachable;
+    struct Call *call;       /* the call that is out, or NULL */
     uint64_t next;           /* offset to read from */
     GHashTable *listed_keys; /* of the listing under way */
     char *after;             /* the last of these; NULL: none yet */
     uint32_t backoff_ms;
-    uint32_t most_ms; /* of it */
+    uint32_t max_backoff_ms; /* of it */
 };
 
 /* One call; it outlives a watch that has forgotten it. */
-typedef struct Ask {
+typedef struct Call {
     StWatch *watch; /* NULL: forgotten */
-} Ask;
+} Call;
 
-static void ask(StWatch *w);
+static void send_call(StWatch *w);
 
 static void
 on_timer(struct ev_loop *loop, ev_timer *t, int events)
 {
     (void)loop;
     (void)events;
-    ask(t->data);
+    send_call(t->data);
 }
 
 static void
-ask_after(StWatch *w, uint32_t wait_ms)
+schedule_call(StWatch *w, uint32_t wait_ms)
 {
     ev_timer_stop(w->loop, &w->timer);
     if (!w->idle) {
@@ -78,22 +78,22 @@
 }
 
 static void
-note_reach(StWatch *w, bool reached)
+set_reachable(StWatch *w, bool reachable)
 {
-    if (w->reached != reached) {
-        w->reached = reached;
-        w->handler.on_reach(w->handler.ctx, reached);
+    if (w->reachable != reachable) {
+        w->reachable = reachable;
+        w->handler.on_reachable(w->handler.ctx, reachable);
     }
 }
 
 static void
 back_off(StWatch *w)
 {
-    note_reach(w, false);
-    w->backoff_ms =
-        w->backoff_ms ? MIN(w->backoff_ms * 2, w->most_ms) : FIRST_BACKOFF_MS;
-    ask_after(w, w->backoff_ms / 2 +
-                     bg_pick_random(&w->rng, w->backoff_ms / 2 + 1));
+    set_reachable(w, false);
+    w->backoff_ms = w->backoff_ms ? MIN(w->backoff_ms * 2, w->max_backoff_ms)
+                                  : FIRST_BACKOFF_MS;
+    schedule_call(w, w->backoff_ms / 2 +
+                         bg_pick_random(&w->rng, w->backoff_ms / 2 + 1));
 }
 
 static void
@@ -136,7 +136,7 @@
         return;
     }
     if (more) {
-        ask(w);
+        send_call(w);
         return;
     }
     w->listing = false;
@@ -144,7 +144,7 @@
     w->handler.on_records(w->handler.ctx, r->records, ST_LAST_PAGE,
                           w->listed_keys);
     g_hash_table_remove_all(w->listed_keys);
-    ask_after(w, w->params.pause_ms);
+    schedule_call(w, w->params.pause_ms);
 }
 
 static void
@@ -153,7 +153,7 @@
     if (r->records->len > 0) {
         const StRecord *last = r->records->pdata[r->records->len - 1];
         w->next = last->offset + 1;
-        w->handler.on_records(w->handler.ctx, r->records, ST_NEWS, NULL);
+        w->handler.on_records(w->handler.ctx, r->records, ST_UPDATES, NULL);
     }
     else if (r->tail < w->next) {
         /* A tail below what was read: another history. */
@@ -162,22 +162,22 @@
                (unsigned long long)w->next);
         begin_listing(w);
     }
-    ask_after(w, w->params.pause_ms);
+    schedule_call(w, w->params.pause_ms);
 }
 
 static void
 on_reply(void *ctx, const StReply *r)
 {
-    Ask *a = ctx;
+    Call *a = ctx;
     StWatch *w = a->watch;
     g_free(a);
     if (!w) {
         return;
     }
-    w->asking = NULL;
+    w->call = NULL;
     if (r->end == ST_TRIMMED) {
         begin_listing(w);
-        ask_after(w, 0);
+        schedule_call(w, 0);
         return;
     }
     if (r->end != ST_OK) {
@@ -185,8 +185,8 @@
         return;
     }
     w->backoff_ms = 0;
-    w->answered_ms = bg_boot_ms();
-    note_reach(w, true);
+    w->last_answer_ms = bg_boot_ms();
+    set_reachable(w, true);
     if (w->listing) {
         take_page(w, r);
     }
@@ -196,22 +196,22 @@
 }
 
 static void
-ask(StWatch *w)
+send_call(StWatch *w)
 {
-    w->asking = g_new0(Ask, 1);
-    w->asking->watch = w;
-    w->asked_ms = bg_boot_ms();
+    w->call = g_new0(Call, 1);
+    w->call->watch = w;
+    w->call_ms = bg_boot_ms();
     if (!w->listing) {
         /* A store that did not answer last time may be silent: a read held
            open would find that out, and its return, only when its time is
            over. */
         w->store->ops->read(w->store, w->params.topic, w->next,
-                            w->reached ? w->params.wait_ms : 0, on_reply,
-                            w->asking);
+                            w->reachable ? w->params.wait_ms : 0, on_reply,
+                            w->call);
         return;
     }
     w->store->ops->list(w->store, w->params.topic, w->after, on_reply,
-                        w->asking);
+                        w->call);
 }
 
 StWatch *
@@ -227,7 +227,7 @@
     ev_timer_init(&w->timer, on_timer, 0., 0.);
     w->timer.data = w;
     w->idle = true;
-    w->most_ms = ST_MOST_BACKOFF_MS;
+    w->max_backoff_ms = ST_MAX_BACKOFF_MS;
     w->listed_keys =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     begin_listing(w);
@@ -235,11 +235,11 @@
 }
 
 static void
-forget_ask(StWatch *w)
+forget_call(StWatch *w)
 {
-    if (w->asking) {
-        w->asking->watch = NULL;
-        w->asking = NULL;
+    if (w->call) {
+        w->call->watch = NULL;
+        w->call = NULL;
     }
 }
 
@@ -247,7 +247,7 @@
 st_destroy_watch(StWatch *w)
 {
     ev_timer_stop(w->loop, &w->timer);
-    forget_ask(w);
+    forget_call(w);
     g_hash_table_destroy(w->listed_keys);
     g_free(w->after);
     g_free(w);
@@ -260,37 +260,37 @@
         return;
     }
     w->idle = idle;
-    forget_ask(w);
+    forget_call(w);
     if (idle) {
         ev_timer_stop(w->loop, &w->timer);
         return;
     }
     uint64_t now_ms = bg_boot_ms();
-    if (!w->listing && now_ms > w->answered_ms + RELIST_MS) {
+    if (!w->listing && now_ms > w->last_answer_ms + RELIST_MS) {
         begin_listing(w);
     }
     w->backoff_ms = 0;
-    ask_after(w, 0);
+    schedule_call(w, 0);
 }
 
 void
 st_restart(StWatch *w, uint64_t now_ms, uint32_t min_age_ms)
 {
-    if (w->asking && now_ms < w->asked_ms + min_age_ms) {
+    if (w->call && now_ms < w->call_ms + min_age_ms) {
         return;
     }
-    forget_ask(w);
-    ask_after(w, 0);
+    forget_call(w);
+    schedule_call(w, 0);
 }
 
 void
-st_set_most_backoff(StWatch *w, uint32_t most_ms)
+st_set_max_backoff(StWatch *w, uint32_t max_backoff_ms)
 {
-    w->most_ms = most_ms;
-    if (w->backoff_ms > most_ms) {
-        w->backoff_ms = most_ms;
-        if (!w->asking) {
-            ask_after(w, bg_pick_random(&w->rng, most_ms));
+    w->max_backoff_ms = max_backoff_ms;
+    if (w->backoff_ms > max_backoff_ms) {
+        w->backoff_ms = max_backoff_ms;
+        if (!w->call) {
+            schedule_call(w, bg_pick_random(&w->rng, max_backoff_ms));
         }
     }
 }
@@ -306,8 +306,8 @@
 {
     bool sooner = pause_ms < w->params.pause_ms;
     w->params.pause_ms = pause_ms;
-    if (sooner && !w->idle && !w->asking && w->backoff_ms == 0) {
-        ask_after(w, pause_ms);
+    if (sooner && !w->idle && !w->call && w->backoff_ms == 0) {
+        schedule_call(w, pause_ms);
     }
 }
 
@@ -320,5 +320,5 @@
 uint64_t
 st_get_age_ms(const StWatch *w, uint64_t now_ms)
 {
-    return w->answered_ms ? now_ms - w->answered_ms : UINT64_MAX;
+    return w->last_answer_ms ? now_ms - w->last_answer_ms : UINT64_MAX;
 }
--- a/src/st.h
+++ b/src/st.h
@@ -10,18 +10,19 @@
     ST_CONFIG,    /* written by operators, under one key */
     ST_UPSTREAMS, /* written by upstreams, each under its id */
     ST_OWNER,     /* ours: who may order upstreams, see ls */
-    ST_MAIL       /* ours: frames of gateways that can't link, by VM */
+    ST_MAILBOX    /* ours: frames of gateways that can't link, by VM */
 } StTopic;
 
 #define ST_ANY_TAIL UINT64_MAX /* append whatever was written since */
 
 typedef enum {
     ST_OK,
-    ST_CONFLICT, /* somebody wrote since; nothing was done */
-    ST_REFUSED,  /* nothing was done */
-    ST_TRIMMED,  /* the records asked for are no longer kept */
-    ST_AWAY      /* no answer: an append may have been done, or be done yet */
-} StEnd;
+    ST_CONFLICT,   /* somebody wrote since; nothing was done */
+    ST_REFUSED,    /* nothing was done */
+    ST_TRIMMED,    /* the records asked for are no longer kept */
+    ST_UNREACHABLE /* no answer: an append may have been done, or be done yet
+                    */
+} StResult;
 
 typedef struct {
     char *key;
@@ -30,7 +31,7 @@
 } StRecord;
 
 typedef struct {
-    StEnd end;
+    StResult end;
     GPtrArray *records; /* StRecord; NULL unless ST_OK of a list or read */
     uint64_t tail;      /* offset that the next record will get */
     uint64_t offset;    /* of an append */
@@ -73,18 +74,18 @@
 } StWatchParams;
 
 typedef enum {
-    ST_NEWS,     /* appended since the last */
+    ST_UPDATES,  /* appended since the last */
     ST_PAGE,     /* of a listing that goes on */
     ST_LAST_PAGE /* of a listing: what no page has is gone */
-} StPart;
+} StBatchKind;
 
 typedef struct {
     void *ctx;
     /* LISTED: a set of the keys of all pages, with the last one; else NULL. */
-    void (*on_records)(void *ctx, const GPtrArray *records, StPart part,
+    void (*on_records)(void *ctx, const GPtrArray *records, StBatchKind part,
                        GHashTable *listed);
     /* The store answered again after it did not, or stopped answering. */
-    void (*on_reach)(void *ctx, bool reached);
+    void (*on_reachable)(void *ctx, bool reached);
 } StWatchHandler;
 
 StWatch *st_create_watch(struct ev_loop *loop, St *s,
@@ -96,8 +97,8 @@
 void st_set_idle(StWatch *w, bool idle);
 void st_set_pause(StWatch *w, uint32_t pause_ms);
 /* The longest pause after calls that failed, where none is set. */
-#define ST_MOST_BACKOFF_MS 700
-void st_set_most_backoff(StWatch *w, uint32_t most_ms);
+#define ST_MAX_BACKOFF_MS 700
+void st_set_max_backoff(StWatch *w, uint32_t max_ms);
 void st_set_wait(StWatch *w, uint32_t wait_ms);
 /* Forget the call that is out, which may be silent, and ask anew; a call that
    is younger than MIN_AGE_MS may just be slow and is left. */
--- a/tests/unit_platform.c
+++ b/tests/unit_platform.c
@@ -172,7 +172,7 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(r);
     g_assert(r != NULL);
     CU_ASSERT(r->kind == DEP_STREAM && r->resumable && r->by_model);
-    CU_ASSERT_EQUAL(r->patience_ms, 3200);
+    CU_ASSERT_EQUAL(r->event_timeout_ms, 3200);
     CU_ASSERT_EQUAL(r->splits->len, 2);
     /* A kind that is not known is never repeated. */
     const DepRoute *novel = dep_find_route(c, "h", "/x");
