--- a/src/gw.c
+++ b/src/gw.c
@@ -8,69 +8,75 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The caller's clock started before ours: an answer that it is to see in
-   time leaves this much before its deadline. */
+/* Subtracted from the caller's deadline: its clock started before ours, and
+   the answer still has to reach it. */
 #define DEADLINE_MARGIN_MS 80
-#define DEFAULT_TIMEOUT_MS                                                    \
-    60000 /* neither the caller nor the route sets one */
-/* An upstream that takes several times the usual is taken for silent, where
-   the request may be sent elsewhere. */
+/* If neither the caller nor the route sets one. */
+#define DEFAULT_TIMEOUT_MS 60000
+/* An upstream counts as silent after SILENT_FACTOR times its usual time to
+   first byte, but not before the minimum for the kind of route, nor, for a
+   stream, before SILENT_OBJECTIVE of its objective_ms.  Only requests that may
+   be repeated are then sent elsewhere. */
 #define SILENT_FACTOR 4
 #define SILENT_MIN_PLAIN_MS 120
 #define SILENT_MIN_STREAM_MS 700
-#define SILENT_OBJECTIVE 0.8 /* of the route's objective for a first event */
-/* Pause inside a stream after which it is resumed elsewhere, in pauses that
-   the route allows; without that figure the fixed time. */
+#define SILENT_OBJECTIVE 0.8
+/* Pause within a stream after which it is resumed elsewhere, as a multiple of
+   the route's gap_ms, or SILENT_GAP_MS if the route has none. */
 #define SILENT_GAPS 2
 #define SILENT_GAP_MS 1000
-/* An upstream that is busy, not dead, is left only for one with less than this
-   share of its load, and so many less. */
+/* A silent upstream that still answers others is busy.  Its request moves only
+   to one whose load, plus these requests, is below this share of its own. */
 #define BUSY_SWITCH_LOAD_RATIO 0.5
 #define BUSY_SWITCH_FEWER_REQUESTS 2
-/* A dead one is left for any that has not so many more. */
+/* From one that answers nobody, the request moves unless the other has at
+   least this many requests more. */
 #define DEAD_SWITCH_MORE_REQUESTS 4
-/* Kept connections older than this aren't used for what may not be sent
-   twice: a close that crosses the request would lose it. */
+/* Connections that were idle for longer are not reused for a request that may
+   not be sent twice: it would be lost if the upstream closed the connection at
+   the same moment. */
 #define MAX_IDLE_NO_REPEAT_MS 1500
 #define DEATH_KEEP_MS 120000
-/* A refusal without a better estimate: until a VM or upstream is back. */
+/* Retry-After of a refusal without a better estimate: about the time until a
+   VM or upstream is back. */
 #define RETRY_SOON_MS 200
 #define RETRY_LATER_MS 1000
-#define RETRY_STOPPING_MS 50 /* another gateway takes it at once */
-/* A service without any upstream is waited for this long: its list may be
-   behind. */
+#define RETRY_STOPPING_MS 50 /* another gateway accepts it at once */
+/* A request for a service without upstreams waits this long: the list may be
+   out of date. */
 #define EMPTY_WAIT_MS 150
-/* A process that starts is told its first configuration within this, or the
-   store is away.  What comes before waits for it: the callers' other gateways
-   may be starting too, and they come back only once or twice. */
+/* After its start a process gets the first configuration within this time,
+   unless the store is unreachable.  Requests that come earlier wait for it:
+   other gateways may be starting as well, and callers retry only once or
+   twice. */
 #define FIRST_CONFIG_TIMEOUT_MS 1000
-#define START_MAX_WAIT_MS 450 /* of one request */
-/* After its configuration the longest list of upstreams has come within this,
-   or the store is away. */
+#define START_MAX_WAIT_MS 450 /* limit for one request */
+/* The longest list of upstreams is complete within this time after the first
+   configuration, unless the store is unreachable. */
 #define FIRST_LIST_TIMEOUT_MS 5000
-/* A placing VM that isn't heard for so long is lost, and another orders so
-   long after it was last heard: the lease, the claim, the rest. */
+/* The leader counts as lost after this time without contact. */
 #define LEADER_LOST_MS 1000
+/* From the last contact with a lost leader to the first order of the next: the
+   rest of the lease, the claim, the guard interval. */
 #define LEADER_CHANGE_MS 5200
-#define LEADER_OVERDUE_MS 400    /* it is overdue: may be back at any moment */
-#define ESTIMATE_MAX_AGE_MS 1500 /* an estimate older than this is forgotten  \
-                                  */
-/* A request is not sent behind others that take longer to begin than this
-   part of its route's objective: a queue that is longer makes all answers late
-   and none more, since the upstream begins as many a second with a short one.
- */
+#define LEADER_OVERDUE_MS 400    /* assumed when the next leader is overdue */
+#define ESTIMATE_MAX_AGE_MS 1500 /* older ones are ignored */
+/* A request is refused rather than queued at an upstream where it would wait
+   longer than this multiple of its route's objective.  A longer queue makes
+   all answers late and raises no throughput: the upstream begins as many
+   requests a second with a short one. */
 #define MAX_QUEUE_OBJECTIVES 1.25
-/* Least time in which a model that has just come can still answer. */
+/* A model must be loaded this long before the caller leaves to be of use. */
 #define MIN_SERVE_MS 150
-/* On the wire 0 is first, 9 last, 5 usual. */
+/* Urgency on the wire: 0 is the most urgent, 5 the default, 9 the least. */
 #define FIRST_URGENCY 3
 #define URGENCY_STEP 2
 #define LAST_URGENCY 9
-/* Parts of what a route allows, after which a request is about to be late: of
-   its objective without a first byte, of its gap without a next event. */
+/* A request is counted as slow after this part of its route's objective_ms
+   without a first byte, or of its gap_ms without a next event. */
 #define SLOW_FIRST_BYTE 0.6
 #define SLOW_PAUSE 0.8
-#define MAX_SENDS 6 /* of one request, those that ran nothing included */
+#define MAX_SENDS 6 /* of one request, including sends that ran nothing */
 
 typedef enum { REQ_WAITING, REQ_SENT } ReqState;
 
@@ -78,63 +84,64 @@
     Gw *gw;
     HtExchange *x;
     DepConfig *config;
-    const DepRoute *route;         /* of that configuration */
-    const DepWorkspace *workspace; /* ... too; NULL: none is asked for */
-    const char *service;           /* of that route */
+    const DepRoute *route;         /* in config */
+    const DepWorkspace *workspace; /* in config; NULL: no key is required */
+    const char *service;           /* picked from route's splits */
     DepCall call;
     UtQuery query;
-    GPtrArray *tried; /* Ut: not to be used again */
-    double cost;      /* against its workspace's limit, let in; 0: nothing */
-    uint64_t digest;  /* of what the caller asks, whoever carries it */
+    GPtrArray *tried; /* Ut: excluded from the choice */
+    double cost;      /* charged to the workspace's limit; 0: none */
+    uint64_t digest;  /* of target and body; the same for each retry */
     uint64_t arrival_ms;
-    uint64_t answer_by_ms; /* an answer, of whatever kind, is out by then */
-    uint64_t
-        first_byte_by_ms; /* the caller leaves when it has nothing by then */
+    uint64_t answer_by_ms;     /* any answer is sent by then */
+    uint64_t first_byte_by_ms; /* the caller leaves without a byte by then */
     ReqState state;
     const char *waiting_for; /* for the log */
-    const char *waited_for;  /* the first thing that it waited for */
-    GList *link;             /* in the gateway's requests */
+    const char *waited_for;  /* first value of waiting_for */
+    GList *link;             /* in gw->reqs */
 
-    /* the call that is out */
+    /* the upstream call in progress */
     HtCall *hc;
     Ut *ut;
     char *last_upstream; /* for the log */
     uint64_t sent_ms;
     uint64_t first_ms; /* 0: no byte of an answer yet */
     uint64_t last_data_ms;
-    uint64_t last_event_ms; /* when an event last went out; 0: none yet */
-    uint32_t max_gap_ms;    /* between two events that went out */
+    uint64_t last_event_ms; /* last event forwarded at; 0: none yet */
+    uint32_t max_gap_ms;    /* between two forwarded events */
     uint64_t last_gap_ms;   /* between the last two */
-    char *gap_upstream;     /* that made it, for the log */
+    char *gap_upstream;     /* that caused max_gap_ms, for the log */
 
     uint32_t sends; /* that reached an upstream */
     uint32_t runs;  /* that may have run */
 
-    /* the answer, if it is not passed on as it comes */
+    /* the answer, unless its events are forwarded as they come */
     GString *head;
     GByteArray *body;
-    /* a failure that an upstream answered, kept while another is tried */
+    /* an upstream's 5xx answer, kept while another upstream is tried */
     GString *kept_head;
     GByteArray *kept_body;
 
-    /* the stream that is passed on */
-    GString *partial; /* bytes of an event that is not whole */
-    int64_t last_event;
-
-    uint16_t status;      /* of the answer to the call that is out */
-    uint16_t kept_status; /* of the kept failure */
-    bool lacks_model;     /* waiting: nobody holds even the model */
-    bool not_run;         /* the upstream says so */
-    bool forwards_events; /* events of the call go to the caller */
-    bool streaming;       /* the stream's head is out */
-    bool retry_counted;   /* the next send is already counted as a repeat */
+    /* the stream that is forwarded */
+    GString *partial;   /* bytes of an incomplete event */
+    int64_t last_event; /* id of the last one that the caller has */
+
+    uint16_t status;      /* of the answer to the current call */
+    uint16_t kept_status; /* of the kept answer */
+    bool lacks_model;     /* waiting: for the model, not an adapter */
+    bool not_run;         /* as the upstream's answer says */
+    bool forwards_events; /* of the current call, to the caller */
+    bool streaming;       /* the head of the stream was sent */
+    bool retry_counted;   /* the budget already paid for the next send */
 } Req;
 
+/* Upstreams that broke off while they ran one request. */
 typedef struct {
-    GHashTable *upstreams; /* set: those that ended under it */
+    GHashTable *upstreams; /* set of ids */
     uint64_t last_ms;
 } Deaths;
 
+/* The leader's estimate of when a model is loaded. */
 typedef struct {
     uint64_t reported_ms;
     uint32_t wait_ms;
@@ -149,25 +156,25 @@
     Rb *budget;
     Wl *limits;         /* of workspaces */
     DepConfig *config;  /* NULL: none yet */
-    uint64_t config_ms; /* when the first was taken */
+    uint64_t config_ms; /* when the first came */
     uint64_t start_ms;
-    GQueue early;        /* HtExchange: came before the first configuration */
+    GQueue early;        /* HtExchange: before the first configuration */
     GQueue reqs;         /* Req */
     GHashTable *arrived; /* model or "model/adapter" -> count */
-    GHashTable *hurried; /* of these: late after a load from a disk */
-    GHashTable *refused; /* model -> count: too many waited */
-    GHashTable *began;   /* upstream -> count of answers that began there */
-    GHashTable *wait_estimates; /* model -> Wait */
+    GHashTable *hurried; /* of these: too late if loaded from disk */
+    GHashTable *refused; /* model -> count: the queue was too long */
+    GHashTable *began;   /* upstream -> count of begun answers */
+    GHashTable *wait_estimates; /* model -> WaitEstimate */
     GHashTable *deaths;         /* digest -> Deaths */
-    Hist *answer_us;         /* from a request's arrival to its answer's end */
+    Hist *answer_us; /* from a request's arrival to the end of its answer */
     Hist *first_byte_us;     /* ... to its first byte */
-    uint64_t leader_ms;      /* when the placing VM was last heard */
-    uint64_t first_order_ms; /* when it gives its first order */
+    uint64_t leader_ms;      /* last contact with the leader */
+    uint64_t first_order_ms; /* when the leader sends its first order */
     BgRandom rng;
-    bool closed; /* takes no more requests */
-    bool behind; /* a newer configuration than ours is known to exist */
-    bool stale;  /* keys may have been taken away unheard */
-    bool upstreams_complete; /* upstreams */
+    bool closed;             /* accepts no more requests */
+    bool behind;             /* a newer configuration exists */
+    bool stale;              /* keys may have been revoked since */
+    bool upstreams_complete; /* the list was read to its end */
 };
 
 static void try_send(Req *q);
@@ -190,7 +197,7 @@
     g_string_append(out, "\r\n");
 }
 
-/* RETRY_MS: until the caller may come back; 0: nothing is said. */
+/* RETRY_MS: time until the caller may retry; 0: no header. */
 static void
 append_retry(GString *out, uint32_t retry_ms)
 {
@@ -199,7 +206,7 @@
     }
 }
 
-/* ---- ends --------------------------------------------------------------- */
+/* ---- results ------------------------------------------------------------ */
 
 static void
 count_end(const Req *q, const char *outcome, uint64_t now_ms)
@@ -223,7 +230,7 @@
     }
 }
 
-/* Against what its route asks for; NULL: in time. */
+/* Which objectives of its route the answer missed; NULL: none. */
 static const char *
 describe_lateness(const Req *q)
 {
@@ -287,7 +294,7 @@
     g_free(q);
 }
 
-/* The call is over; its upstream is judged by END. */
+/* The call is over; END updates the state of its upstream. */
 static void
 finish_call(Req *q, UtEnd end)
 {
@@ -327,7 +334,7 @@
     return status == 503 ? "refused" : status == 429 ? "limited" : "failed";
 }
 
-/* Q has not run and never will: its workspace may ask for as much again. */
+/* Q has not run and never will: its cost is credited to the workspace. */
 static void
 refund_limit(Req *q)
 {
@@ -337,7 +344,7 @@
     }
 }
 
-/* Answer the caller ourselves.  Q is gone after it. */
+/* Sends the gateway's own answer.  Frees Q. */
 static void
 answer(Req *q, uint16_t status, uint32_t retry_ms, const char *why)
 {
@@ -348,7 +355,8 @@
     cancel_call(q, UT_END_NEUTRAL);
     HtExchange *x = q->x;
     if (q->streaming) {
-        /* Its head is out: only an end that is visibly not whole is left. */
+        /* The head was sent, so the status can't change: the stream is
+           visibly truncated. */
         free_req(q);
         ht_abort_answer(x);
         return;
@@ -370,12 +378,13 @@
            (q->route->kind == DEP_STREAM && q->route->resumable);
 }
 
-/* Nothing more can be done.  A refusal is true only if nothing ran. */
+/* Ends a request that can't be served.  503 may be sent only if nothing ran.
+   Frees Q. */
 static void
 give_up(Req *q, uint32_t retry_ms, const char *why)
 {
     if (q->kept_head && !q->streaming) {
-        /* The upstream's own failure tells the caller more than ours. */
+        /* The upstream's own error tells the caller more than a 502. */
         HtExchange *x = q->x;
         g_autoptr(GString) head = g_steal_pointer(&q->kept_head);
         g_autoptr(GByteArray) body = g_steal_pointer(&q->kept_body);
@@ -403,8 +412,9 @@
                                                       : q->route->priority;
 }
 
-/* Upstreams take the more urgent first: the operators' highest rank goes
-   before the rank that is usual, each further one behind it. */
+/* Upstreams run the more urgent requests first.  The operators' priority 0
+   maps to FIRST_URGENCY, ahead of the default 5; each further one is less
+   urgent. */
 static uint32_t
 get_urgency(const Req *q)
 {
@@ -502,7 +512,7 @@
 
 /* ---- waiting ------------------------------------------------------------ */
 
-/* Until the placing VM orders anything; 0: it does. */
+/* Time until a leader can send orders; 0: it can now. */
 static uint32_t
 get_leader_wait_ms(const Gw *g, uint64_t now_ms)
 {
@@ -554,7 +564,7 @@
     }
 }
 
-/* The caller leaves then if it has heard nothing more. */
+/* Time at which the caller disconnects if it receives nothing more. */
 static uint64_t
 get_disconnect_ms(const Req *q)
 {
@@ -567,8 +577,8 @@
                : q->answer_by_ms;
 }
 
-/* A model that comes too late is refused now, with the time at which it
-   should be there. */
+/* Refuses the request at once if the model is estimated to come too late, with
+   the estimate as Retry-After. */
 static void
 wait_for_model(Req *q, uint64_t now_ms, const char *what)
 {
@@ -580,7 +590,8 @@
     wait_for(q, now_ms, what);
 }
 
-/* What has run already is sent on, however long that takes. */
+/* Longest queueing time to accept at an upstream; 0: any, if the request has
+   already run somewhere or its route has no objective. */
 static uint32_t
 get_max_wait_ms(const Req *q, uint64_t now_ms)
 {
@@ -593,8 +604,9 @@
         1);
 }
 
-/* It can't begin in time behind those that wait: refused now, to come back
-   when these will have begun.  Not all at the same moment. */
+/* Even on the least busy upstream the request can't begin in time.  It may
+   come back when the queue there is short enough; a random part spreads the
+   retries. */
 static void
 refuse_busy(Req *q, uint64_t now_ms, const Ut *least_busy)
 {
@@ -607,8 +619,8 @@
     give_up(q, RETRY_SOON_MS + over_ms + spread, "too many wait");
 }
 
-/* The upstream that could serve it may be among those that this process, which
-   has just started, doesn't know yet. */
+/* The process has just started: an upstream that could serve the request may
+   be in the part of the list that was not read yet. */
 static bool
 may_be_unlisted(const Req *q, uint64_t now_ms)
 {
@@ -634,14 +646,14 @@
         give_up(q, RETRY_SOON_MS, "deadline");
         return;
     }
-    /* It left while it waited: nothing is begun for it. */
+    /* The caller left while the request waited: don't send it. */
     if (ht_is_gone(q->x)) {
         q->state = REQ_WAITING;
-        q->waiting_for = "nothing: the caller is gone";
+        q->waiting_for = "nothing: caller disconnected";
         return;
     }
     if (q->sends >= MAX_SENDS) {
-        give_up(q, RETRY_SOON_MS, "turned away too often");
+        give_up(q, RETRY_SOON_MS, "too many sends");
         return;
     }
     Ut *ut = NULL;
@@ -658,7 +670,7 @@
     case UT_FOUND:
         if (q->sends > 0 && !q->retry_counted &&
             !rb_take(q->gw->budget, now_ms, q->service)) {
-            give_up(q, RETRY_LATER_MS, "no budget for a repeat");
+            give_up(q, RETRY_LATER_MS, "no budget for a retry");
             return;
         }
         q->retry_counted = false;
@@ -676,13 +688,13 @@
         wait_for(q, now_ms, "slot");
         return;
     case UT_AWAY:
-        /* The placing VM may have the model loaded elsewhere. */
+        /* The leader may have the model loaded elsewhere. */
         q->lacks_model = true;
         if (q->query.model) {
-            wait_for_model(q, now_ms, "upstream that answers");
+            wait_for_model(q, now_ms, "reachable upstream");
         }
         else {
-            wait_for(q, now_ms, "upstream that answers");
+            wait_for(q, now_ms, "reachable upstream");
         }
         return;
     case UT_NONE:
@@ -694,9 +706,9 @@
         return;
     case UT_TRIED:
         if (q->tried->len > 0 && (q->runs == 0 || may_repeat(q))) {
-            /* Those that broke off may serve it after all: most are well, and
-               one that is gone can't be reached, which has the model loaded
-               elsewhere. */
+            /* Try the upstreams that broke off once more: most of them are
+               well, and one that is gone will be found unreachable, so that
+               the leader has the model loaded elsewhere. */
             g_ptr_array_set_size(q->tried, 0);
             wait_for(q, now_ms, "slot");
             return;
@@ -706,7 +718,7 @@
     }
 }
 
-/* ---- what comes back ---------------------------------------------------- */
+/* ---- upstream answers --------------------------------------------------- */
 
 static void
 copy_headers(const HtHead *head, GString *out)
@@ -746,8 +758,7 @@
         q->route->kind == DEP_STREAM && head->status == 200 && !q->not_run;
 }
 
-/* Length of the first whole event in TEXT, its blank line included; 0: it
-   is not whole yet. */
+/* Length of the first event in TEXT with its blank line; 0: incomplete. */
 static size_t
 find_event_end(const GString *text)
 {
@@ -796,8 +807,8 @@
     q->last_event_ms = now_ms;
 }
 
-/* Only whole events are passed on, so that after a break the next upstream
-   goes on exactly behind what the caller has. */
+/* Forwards only complete events, so that after a break the next upstream
+   resumes exactly behind what the caller has. */
 static void
 forward_events(Req *q)
 {
@@ -855,7 +866,7 @@
     send_whole(x, status, head, body);
 }
 
-/* Whether another upstream may be tried after this one may have run it. */
+/* Whether the request may be sent again after an upstream may have run it. */
 static bool
 may_run_again(const Req *q, uint64_t now_ms)
 {
@@ -879,7 +890,7 @@
     jl_end(l);
 }
 
-/* It ran nothing: the next upstream may have it. */
+/* The upstream ran nothing, so the request may go to another in any case. */
 static void
 handle_not_run(Req *q, uint64_t now_ms)
 {
@@ -888,7 +899,7 @@
     bool other = q->status == 421;
     log_not_run(q, now_ms);
     if (q->query.model && (other || q->status == 503)) {
-        /* It lacks the model, or an order on it is under way. */
+        /* It lacks the model, or an order for that model is in progress. */
         ut_note_absent(q->gw->upstreams, ut, now_ms, q->query.model,
                        q->query.adapter);
         finish_call(q, UT_END_NEUTRAL);
@@ -923,8 +934,8 @@
     try_send(q);
 }
 
-/* An upstream's own failure: of what may run again another is asked, and
-   the failure kept in case that brings nothing better. */
+/* The upstream answered 5xx.  A request that may run again is sent to another;
+   the answer is kept in case that brings nothing better. */
 static void
 handle_error_status(Req *q)
 {
@@ -962,8 +973,7 @@
             q->gw->out.upstream_unreachable(q->gw->out.ctx, ut_get_id(q->ut));
         }
         finish_call(q, UT_END_DEAD);
-        q->retry_counted =
-            q->sends > 0; /* the repeat did not reach the service */
+        q->retry_counted = q->sends > 0; /* that retry never left */
         try_send(q);
         return;
     }
@@ -975,7 +985,7 @@
         finish_stream(q);
     }
     else if (end == HT_DONE && q->streaming) {
-        /* A resumption that was answered with something else. */
+        /* The resumption was not answered with a stream. */
         handle_failure(q, UT_END_FAILED, "resumption refused");
     }
     else if (end == HT_DONE && q->status >= 500) {
@@ -1003,7 +1013,7 @@
     return XXH64(body->data, body->len, d);
 }
 
-/* TEXT: what the caller is told. */
+/* Answers a request that has no Req yet.  TEXT: the body. */
 static void
 refuse_unadmitted(HtExchange *x, uint16_t status, uint32_t retry_ms,
                   const char *text)
@@ -1051,7 +1061,7 @@
     q->query.adapter = q->call.adapter;
     const GArray *parts = q->call.parts;
     if (parts && parts->len > 1) {
-        /* The last part is this request's own. */
+        /* The last part is not shared with other requests. */
         q->query.affinity =
             g_array_index(parts, DepPart, parts->len - 2).digest;
         for (guint i = 0; i + 1 < parts->len; i++) {
@@ -1126,27 +1136,27 @@
     bg_count("gateway_keys_refused_total", 1);
 }
 
-/* The workspace whose key the caller shows.  NULL: it is answered. */
+/* The workspace of the caller's key.  NULL: the request was answered. */
 static const DepWorkspace *
 admit_key(Gw *g, HtExchange *x)
 {
     const HtHead *head = ht_get_head(x);
     const char *text = g->wire->read_key(head);
     if (!text) {
-        log_key(g, head, NULL, "not one key");
-        refuse_unadmitted(x, 401, 0, "one key is needed\n");
+        log_key(g, head, NULL, "no key, or more than one");
+        refuse_unadmitted(x, 401, 0, "exactly one API key is required\n");
         return NULL;
     }
     DepKey key = dep_digest_key(text);
     const DepWorkspace *w = dep_find_workspace(g->config, &key);
     if (g->stale) {
-        log_key(g, head, &key, "the configuration may be old");
+        log_key(g, head, &key, "configuration may be out of date");
         refuse_unadmitted(x, 503, RETRY_LATER_MS, "keys can't be checked\n");
         return NULL;
     }
     if (!w && g->behind) {
-        /* The newer configuration may have brought it. */
-        log_key(g, head, &key, "not known yet");
+        /* The newer configuration may contain the key. */
+        log_key(g, head, &key, "unknown; a newer configuration exists");
         refuse_unadmitted(x, 503, RETRY_SOON_MS, "keys can't be checked\n");
         return NULL;
     }
@@ -1245,7 +1255,8 @@
     }
     note_arrival(q);
     if (is_poison(g, q->digest)) {
-        answer(q, 503, RETRY_LATER_MS * 10, "upstreams ended under it");
+        answer(q, 503, RETRY_LATER_MS * 10,
+               "upstreams broke off while running it");
         return;
     }
     try_send(q);
@@ -1266,7 +1277,7 @@
     }
 }
 
-/* Those that waited long enough, and all once the process stops. */
+/* Refuses early requests that waited too long; all when the process stops. */
 static void
 refuse_early(Gw *g, uint64_t now_ms)
 {
@@ -1316,8 +1327,9 @@
     if (a != UT_FOUND) {
         return false;
     }
-    /* One that answers others is busy, not dead: leaving it throws away the
-       place in its queue, which pays only where there is far less to do. */
+    /* One that answers others is busy, not dead: moving the request loses its
+       place in the queue there, which pays only if the other has far less
+       load. */
     bool lives = ut_is_alive(q->ut, now_ms);
     double here = ut_get_load(q->ut, now_ms);
     double there = ut_get_load(other, now_ms);
@@ -1374,7 +1386,7 @@
     }
 }
 
-/* Looking at one request may end it, but no other. */
+/* check_request may free its own request, but no other. */
 void
 gw_on_tick(Gw *g, uint64_t now_ms)
 {
@@ -1417,7 +1429,7 @@
     }
 }
 
-/* ---- what others tell --------------------------------------------------- */
+/* ---- reports from other processes --------------------------------------- */
 
 void
 gw_on_leader(Gw *g, uint64_t now_ms, uint32_t guard_ms)
@@ -1470,7 +1482,7 @@
 
 /* ---- demand ------------------------------------------------------------- */
 
-/* A demand that is being collected. */
+/* A demand under construction. */
 typedef struct {
     uint64_t now_ms;
     DmDemand *demand;
@@ -1505,7 +1517,7 @@
     return u;
 }
 
-/* About to come late, by what its upstream does at this moment. */
+/* Whether the answer is about to miss an objective of its route. */
 static bool
 is_slow(const Req *q, uint64_t now_ms)
 {
@@ -1538,8 +1550,8 @@
     w->waiting += a && q->lacks_model;
 }
 
-/* Counts of COUNTS, by model or "model/adapter", go to the field at OFFSET of
-   its want, and begin anew. */
+/* Moves COUNTS, keyed by model or "model/adapter", to the field at OFFSET of
+   each DmWant. */
 static void
 collect_counts(Collection *c, GHashTable *counts, size_t offset)
 {
--- a/src/gw.h
+++ b/src/gw.h
@@ -1,12 +1,15 @@
-/* gw: the life of callers' requests in a gateway: route, wait for a model,
-   choice of an upstream, the call, the answer passed on as it comes, repeats
-   and resumption.
+/* gw: the life of a caller's request in a gateway: routing, admission (key,
+   limit), queueing for a model, choice of an upstream, the upstream call,
+   forwarding of the answer, retries and resumption of streams.
 
-   Promises.  A request that may not be repeated is sent on only as long as
-   no byte of it left or the upstream said that it ran nothing.  "Refused"
-   (503) is said only of what has not run and never will.  An answer is the
-   upstream's, unchanged and whole, or visibly broken off.  Work is cancelled
-   as soon as its caller is gone. */
+   Guarantees.
+   - A request that is not idempotent or resumable is sent again only if no
+     byte of it left this process, or the upstream said that it ran nothing.
+   - 503 (refused) means that the request has not run and never will.
+   - An answer is forwarded unchanged and complete, or is visibly truncated.
+   - The upstream call is cancelled as soon as the caller disconnects.
+
+   Not thread-safe: all functions run in the loop thread. */
 #ifndef GW_H
 #define GW_H
 
@@ -18,73 +21,80 @@
 #include "ut.h"
 #include "wl.h"
 
-/* What an upstream says of its load in an answer. */
+/* Load of an upstream, as reported in the head of an answer. */
 typedef struct {
     uint32_t running;
     uint32_t waiting;
     uint32_t slots;
 } GwLoad;
 
-/* How requests and answers look on the wire. */
+/* Header names of the platform, and functions that read its headers. */
 typedef struct {
     const char *attempt_id;        /* echoed in the answer */
-    const char *deadline_ms;       /* what the upstream may take */
-    const char *expected_upstream; /* another one answers 421 */
-    const char *not_run;           /* of an answer: nothing was run */
-    const char *urgency;           /* 0 first, 9 last */
+    const char *deadline_ms;       /* time that is left for the answer */
+    const char *expected_upstream; /* any other upstream answers 421 */
+    const char *not_run;           /* in an answer: the request was not run */
+    const char *urgency;           /* 0 (most urgent) to 9 */
     const char *last_event;        /* resume a stream after this event */
-    const char *workspace;         /* that calls, to the upstream */
-    /* The caller's key; NULL: none, or more than one. */
+    const char *workspace;         /* tells the upstream who calls */
+    /* The caller's API key; NULL if there is none, or more than one. */
     const char *(*read_key)(const HtHead *head);
-    /* The gateway's to set: a caller's own is not passed on. */
+    /* Whether only the gateway sets this header: one that a caller sent is not
+       forwarded. */
     bool (*is_own_header)(const char *name);
-    /* Text in OUT is borrowed from HEAD or freed by dep_clear_call. */
+    /* Strings in OUT are borrowed from HEAD or freed by dep_clear_call. */
     void (*read_call)(const HtHead *head, DepCall *out);
     bool (*read_load)(const HtHead *head, GwLoad *out);
 } GwWire;
 
 typedef struct {
-    uint32_t connect_ms;  /* to an upstream */
-    uint32_t death_limit; /* a request under which so many ended is refused */
+    uint32_t connect_ms;  /* timeout of a connection to an upstream */
+    uint32_t death_limit; /* a request is refused once so many upstreams broke
+                             off while they ran it */
     uint64_t seed;
 } GwParams;
 
 typedef struct {
     void *ctx;
-    /* Callers begin to wait for a model: tell the placing VM soon. */
+    /* A request starts to wait for a model: the demand should be sent to the
+       leader soon. */
     void (*demand_changed)(void *ctx);
-    /* An upstream broke off under the request with this digest. */
+    /* An upstream broke off while it ran the request with this digest. */
     void (*upstream_died)(void *ctx, uint64_t request, const char *upstream);
-    /* No connection to an upstream that could be reached before. */
+    /* Connecting to an upstream failed that was not known as unreachable. */
     void (*upstream_unreachable)(void *ctx, const char *upstream);
 } GwOutput;
 
 typedef struct Gw Gw;
 
-/* POOL, UPSTREAMS, BUDGET and LIMITS stay the caller's. */
+/* POOL, UPSTREAMS, BUDGET and LIMITS are borrowed. */
 Gw *gw_create(const GwParams *params, const GwWire *wire, const GwOutput *out,
               HtPool *pool, UtSet *upstreams, Rb *budget, Wl *limits);
 void gw_destroy(Gw *g);
 
 void gw_on_config(Gw *g, DepConfig *c);
-/* Take what came before the first configuration, which is in force now. */
+/* Admits the requests that came before the first configuration.  Call it once
+   that is in force. */
 void gw_admit_early(Gw *g);
-/* Whether the configuration in force may be older than the newest one: BEHIND,
-   a newer one is known to exist; STALE, nothing was heard of it for so long
-   that keys may have been taken away, and none is let in. */
+/* BEHIND: a newer configuration is known to exist, so an unknown key is
+   answered 503, not 401.  STALE: the configuration is so old that keys may
+   have been revoked since; no key is accepted. */
 void gw_set_config_freshness(Gw *g, bool behind, bool stale);
-/* Whether all upstreams are known: what none of the known ones can serve waits
-   a little for the others. */
+/* COMPLETE: the list of upstreams was read to its end.  Until then a request
+   that no known upstream can serve waits a little for the rest. */
 void gw_set_upstreams_complete(Gw *g, bool complete);
-/* Upstreams or what they hold changed: what waits is looked at again. */
+/* Upstreams, or the models on them, changed: waiting requests are tried
+   again. */
 void gw_on_change(Gw *g);
 void gw_on_tick(Gw *g, uint64_t now_ms);
-/* The placing VM was heard; it gives its first order in REST_MS. */
+/* Last contact with the leader; it sends its first order in GUARD_MS. */
 void gw_on_leader(Gw *g, uint64_t now_ms, uint32_t guard_ms);
-/* The placing VM's estimate for a model that is not held. */
+/* The leader's estimate of when a model will be loaded that no upstream
+   holds. */
 void gw_on_wait_estimate(Gw *g, uint64_t now_ms, const char *model,
                          uint32_t wait_ms);
-/* An upstream broke off under that request, here or elsewhere. */
+/* An upstream broke off while it ran that request, for this or another
+   gateway. */
 void gw_on_death(Gw *g, uint64_t now_ms, uint64_t request,
                  const char *upstream);
 
@@ -92,17 +102,16 @@
 void gw_on_request(Gw *g, HtExchange *x);
 void gw_on_gone(Gw *g, HtExchange *x);
 
-/* The process is about to stop: what comes from now on, and what would have
-   to wait, is refused, so that its caller goes to another gateway. */
+/* The process is about to stop.  New requests, and those that would have to
+   wait, are refused, so that their callers go to another gateway. */
 void gw_stop_accepting(Gw *g);
-/* The process ends: everything still open is answered now, and what comes
-   from now on is refused. */
+/* Answers all open requests now and refuses new ones. */
 void gw_close(Gw *g);
 
-/* What callers here want and use now; arrivals and beginnings are those since
-   the last call.  To be freed with dm_destroy_demand. */
+/* Current demand of the requests here.  Arrivals and begun answers are counted
+   since the last call.  Free with dm_destroy_demand. */
 DmDemand *gw_collect_demand(Gw *g);
-/* Latencies so far, as Prometheus text. */
+/* Latency quantiles since the start, as Prometheus text. */
 void gw_print_metrics(const Gw *g, GString *out);
 uint32_t gw_count(const Gw *g);
 uint32_t gw_count_waiting(const Gw *g);
