--- a/src/st.c
+++ b/src/st.c
@@ -3,12 +3,13 @@
 #include <ev.h>
 #include <string.h>
 
-/* After a failed call the next one waits, twice as long each time, so that a
-   store in trouble isn't pressed by every VM; half of it is random, so that
-   they do not come back as one. */
+/* Pause after a failed call; it doubles each time, so that all VMs together
+   don't overload a store in trouble.  Half of it is random, so that they do
+   not come back at the same moment. */
 #define FIRST_BACKOFF_MS 80
-/* After so long without an answer a listing is shorter than what was written
-   meanwhile, which may be kept no longer. */
+/* A watch that was idle, and had no answer for this long, lists anew: that is
+   shorter than all records appended meanwhile, which the store may no longer
+   keep. */
 #define RELIST_MS 3000
 
 StRecord *
@@ -39,22 +40,22 @@
     ev_timer timer; /* the next call */
     BgRandom rng;
     uint64_t last_answer_ms; /* 0: never */
-    uint64_t call_ms;        /* of the call that is out */
+    uint64_t call_ms;        /* when the pending call began */
     bool idle;
     bool listed;
-    bool listing; /* a listing is under way */
+    bool listing; /* a listing is in progress */
     bool reachable;
-    struct Call *call;       /* the call that is out, or NULL */
+    struct Call *call;       /* the pending call, or NULL */
     uint64_t next;           /* offset to read from */
-    GHashTable *listed_keys; /* of the listing under way */
-    char *after;             /* the last of these; NULL: none yet */
+    GHashTable *listed_keys; /* of the listing in progress */
+    char *after;             /* last key of these; NULL: none yet */
     uint32_t backoff_ms;
-    uint32_t max_backoff_ms; /* of it */
+    uint32_t max_backoff_ms;
 };
 
-/* One call; it outlives a watch that has forgotten it. */
+/* One call to the store.  It outlives its watch if that has dropped it. */
 typedef struct Call {
-    StWatch *watch; /* NULL: forgotten */
+    StWatch *watch; /* NULL: dropped */
 } Call;
 
 static void send_call(StWatch *w);
@@ -121,8 +122,8 @@
 static void
 take_page(StWatch *w, const StReply *r)
 {
-    /* Pages are no snapshot: what changes meanwhile is read from the tail
-       that the first page told. */
+    /* Pages are no snapshot: changes made meanwhile are read afterwards, from
+       the tail that came with the first page. */
     if (!w->after) {
         w->next = r->tail;
     }
@@ -132,7 +133,7 @@
         w->handler.on_records(w->handler.ctx, r->records, ST_PAGE, NULL);
     }
     if (more && w->idle) {
-        begin_listing(w); /* anew when it is needed */
+        begin_listing(w); /* from the start when needed again */
         return;
     }
     if (more) {
@@ -156,8 +157,9 @@
         w->handler.on_records(w->handler.ctx, r->records, ST_UPDATES, NULL);
     }
     else if (r->tail < w->next) {
-        /* A tail below what was read: another history. */
-        bg_log(BG_WARN, "store", "%s: tail %llu below %llu, listing anew",
+        /* The tail is below what was read: the log was replaced. */
+        bg_log(BG_WARN, "store",
+               "%s: tail %llu is below the next offset %llu, listing again",
                w->params.name, (unsigned long long)r->tail,
                (unsigned long long)w->next);
         begin_listing(w);
@@ -202,9 +204,8 @@
     w->call->watch = w;
     w->call_ms = bg_boot_ms();
     if (!w->listing) {
-        /* A store that did not answer last time may be silent: a read held
-           open would find that out, and its return, only when its time is
-           over. */
+        /* Without wait_ms if the last call failed: a long poll would notice
+           only at its end whether the store answers again. */
         w->store->ops->read(w->store, w->params.topic, w->next,
                             w->reachable ? w->params.wait_ms : 0, on_reply,
                             w->call);
@@ -235,7 +236,7 @@
 }
 
 static void
-forget_call(StWatch *w)
+drop_call(StWatch *w)
 {
     if (w->call) {
         w->call->watch = NULL;
@@ -247,7 +248,7 @@
 st_destroy_watch(StWatch *w)
 {
     ev_timer_stop(w->loop, &w->timer);
-    forget_call(w);
+    drop_call(w);
     g_hash_table_destroy(w->listed_keys);
     g_free(w->after);
     g_free(w);
@@ -260,7 +261,7 @@
         return;
     }
     w->idle = idle;
-    forget_call(w);
+    drop_call(w);
     if (idle) {
         ev_timer_stop(w->loop, &w->timer);
         return;
@@ -279,7 +280,7 @@
     if (w->call && now_ms < w->call_ms + min_age_ms) {
         return;
     }
-    forget_call(w);
+    drop_call(w);
     schedule_call(w, 0);
 }
 
--- a/src/st.h
+++ b/src/st.h
@@ -1,6 +1,12 @@
-/* st: the store that outlives every process, as the product uses it: topics
-   of records with a key, of which the newest of each key stays; reads from
-   an offset; appends under the condition that nobody wrote since. */
+/* st: interface to the platform's store, a log that outlives every process.
+
+   A topic is a log of records with a key; the store keeps at least the newest
+   record of each key.  A topic can be listed (newest record of each key), read
+   from an offset, and appended to; an append may be conditional on the tail,
+   that is, on no other append since.  Calls are asynchronous.
+
+   StWatch follows a topic: it lists it, then reads what is appended, and lists
+   again when it can't continue. */
 #ifndef ST_H
 #define ST_H
 
@@ -8,34 +14,35 @@
 
 typedef enum {
     ST_CONFIG,    /* written by operators, under one key */
-    ST_UPSTREAMS, /* written by upstreams, each under its id */
-    ST_OWNER,     /* ours: who may order upstreams, see ls */
-    ST_MAILBOX    /* ours: frames of gateways that can't link, by VM */
+    ST_UPSTREAMS, /* written by upstreams, each under its own id */
+    ST_OWNER,     /* written by gateways: the lease, see ls */
+    ST_MAILBOX    /* written by gateways that can't link to the leader:
+                     link frames, each under its VM's name */
 } StTopic;
 
-#define ST_ANY_TAIL UINT64_MAX /* append whatever was written since */
+#define ST_ANY_TAIL UINT64_MAX /* unconditional append */
 
 typedef enum {
     ST_OK,
-    ST_CONFLICT,   /* somebody wrote since; nothing was done */
-    ST_REFUSED,    /* nothing was done */
-    ST_TRIMMED,    /* the records asked for are no longer kept */
-    ST_UNREACHABLE /* no answer: an append may have been done, or be done yet
-                    */
+    ST_CONFLICT,   /* the tail had moved on; nothing was appended */
+    ST_REFUSED,    /* nothing was appended */
+    ST_TRIMMED,    /* records from that offset are no longer kept */
+    ST_UNREACHABLE /* no usable answer: an append may have taken effect, or
+                       may yet */
 } StResult;
 
 typedef struct {
     char *key;
-    GBytes *value; /* NULL: the key was dropped */
+    GBytes *value; /* NULL: the key was deleted */
     uint64_t offset;
 } StRecord;
 
 typedef struct {
     StResult end;
     GPtrArray *records; /* StRecord; NULL unless ST_OK of a list or read */
-    uint64_t tail;      /* offset that the next record will get */
-    uint64_t offset;    /* of an append */
-    bool has_more;      /* of a list: go on after the last key */
+    uint64_t tail;      /* offset of the next record to be appended */
+    uint64_t offset;    /* of the appended record */
+    bool has_more;      /* of a list: continue after the last key */
 } StReply;
 
 typedef void (*StReplyFn)(void *ctx, const StReply *reply);
@@ -43,13 +50,16 @@
 typedef struct St St;
 
 typedef struct {
-    /* The newest record of each key, from the one after AFTER (NULL: all). */
+    /* The newest record of each key, page by page: the page that begins after
+       the key AFTER (NULL: the first page). */
     void (*list)(St *s, StTopic topic, const char *after, StReplyFn done,
                  void *ctx);
-    /* Records from FROM on, as soon as there is one or WAIT_MS are over. */
+    /* Records from offset FROM on.  Answered as soon as there is one, or after
+       WAIT_MS. */
     void (*read)(St *s, StTopic topic, uint64_t from, uint32_t wait_ms,
                  StReplyFn done, void *ctx);
-    /* Append one record if the topic's tail is still AT, or ST_ANY_TAIL. */
+    /* Appends one record if the topic's tail is still AT, or if AT is
+       ST_ANY_TAIL. */
     void (*append)(St *s, StTopic topic, uint64_t at, const char *key,
                    const void *value, size_t len, StReplyFn done, void *ctx);
 } StOps;
@@ -69,43 +79,44 @@
 typedef struct {
     StTopic topic;
     const char *name;  /* for the log */
-    uint32_t wait_ms;  /* a read is held open for so long; 0: polled */
+    uint32_t wait_ms;  /* of a long poll; 0: reads return at once */
     uint32_t pause_ms; /* between reads */
 } StWatchParams;
 
 typedef enum {
-    ST_UPDATES,  /* appended since the last */
-    ST_PAGE,     /* of a listing that goes on */
-    ST_LAST_PAGE /* of a listing: what no page has is gone */
+    ST_UPDATES,  /* records appended since the last call */
+    ST_PAGE,     /* page of a listing; more follow */
+    ST_LAST_PAGE /* last page: keys that no page had don't exist */
 } StBatchKind;
 
 typedef struct {
     void *ctx;
-    /* LISTED: a set of the keys of all pages, with the last one; else NULL. */
+    /* LISTED: with ST_LAST_PAGE the set of the keys of all pages, else
+       NULL. */
     void (*on_records)(void *ctx, const GPtrArray *records, StBatchKind part,
                        GHashTable *listed);
-    /* The store answered again after it did not, or stopped answering. */
-    void (*on_reachable)(void *ctx, bool reached);
+    /* The store answers again (REACHABLE), or stopped answering. */
+    void (*on_reachable)(void *ctx, bool reachable);
 } StWatchHandler;
 
 StWatch *st_create_watch(struct ev_loop *loop, St *s,
                          const StWatchParams *params,
                          const StWatchHandler *handler);
 void st_destroy_watch(StWatch *w);
-/* An idle watch asks for nothing; others tell what it would.  It begins
-   idle. */
+/* An idle watch calls nothing: the updates come from another process.  A new
+   watch is idle. */
 void st_set_idle(StWatch *w, bool idle);
 void st_set_pause(StWatch *w, uint32_t pause_ms);
-/* The longest pause after calls that failed, where none is set. */
+/* Default of the longest pause after failed calls. */
 #define ST_MAX_BACKOFF_MS 700
 void st_set_max_backoff(StWatch *w, uint32_t max_ms);
 void st_set_wait(StWatch *w, uint32_t wait_ms);
-/* Forget the call that is out, which may be silent, and ask anew; a call that
-   is younger than MIN_AGE_MS may just be slow and is left. */
+/* Drops the pending call, which may never be answered, and calls again.  A
+   call younger than MIN_AGE_MS may just be slow: then nothing is done. */
 void st_restart(StWatch *w, uint64_t now_ms, uint32_t min_age_ms);
-/* A first listing has come. */
+/* Whether a listing was completed. */
 bool st_is_listed(const StWatch *w);
-/* Since the store last answered it; UINT64_MAX: never. */
+/* Time since the store's last answer; UINT64_MAX: there was none. */
 uint64_t st_get_age_ms(const StWatch *w, uint64_t now_ms);
 
 #endif
