--- a/src/hist.c
+++ b/src/hist.c
@@ -3,7 +3,7 @@
 #include <stdatomic.h>
 
 #define SUB_BITS 6
-#define SUB_BUCKETS (1u << SUB_BITS) /* to each power of two */
+#define SUB_BUCKETS (1u << SUB_BITS) /* for each power of two */
 #define MAX_BITS 40                  /* longer ones share the last bucket */
 #define BUCKETS ((MAX_BITS - SUB_BITS + 1) * SUB_BUCKETS)
 
@@ -25,8 +25,8 @@
     g_free(h);
 }
 
-/* Values below SUB_BUCKETS have a bucket each; above, the SUB_BITS bits
-   after the highest one choose it. */
+/* Each value below SUB_BUCKETS has its own bucket.  Above, the position of the
+   highest bit and the SUB_BITS bits after it select the bucket. */
 static uint32_t
 find_bucket(uint64_t us)
 {
--- a/tests/unit_hist.c
+++ b/tests/unit_hist.c
@@ -1,4 +1,4 @@
-/* Quantiles of the log-linear histogram against exact ones. */
+/* hist: quantiles compared with exact ones, counts, maximum, merge. */
 #include "hist.h"
 
 #include <CUnit/Basic.h>
@@ -35,8 +35,8 @@
     return x < y ? -1 : x > y;
 }
 
-/* Values over ten powers of ten: no quantile is below the exact one or more
-   than a 64th above it. */
+/* Values over ten powers of ten: each quantile is at least the exact one, and
+   at most 1/64 above it. */
 static void
 test_error_bound(void)
 {
--- a/tests/unit_platform.c
+++ b/tests/unit_platform.c
@@ -1,5 +1,5 @@
-/* The adapter: what the platform writes, decoded, also when it is malformed,
-   cut off or from another writer. */
+/* Decoding of the platform's formats: valid, malformed, truncated, or from
+   another writer. */
 #include "../platform/pf_store.h"
 #include "../platform/pf_wire.h"
 
@@ -30,7 +30,7 @@
 {
     GByteArray *b = start_body();
     add_record(b, "k1", "one");
-    add_record(b, "k2", ""); /* dropped key */
+    add_record(b, "k2", ""); /* deleted key */
     uint64_t tail = 0;
     GPtrArray *r = pf_decode_records(b->data, b->len, 5, &tail);
     CU_ASSERT_EQUAL(tail, 9);
@@ -46,7 +46,8 @@
     g_byte_array_free(b, TRUE);
 }
 
-/* Cut off at every byte: whole records before the cut, never more. */
+/* Truncated at every byte: only the complete records before that are
+   returned. */
 static void
 test_records_cut_off(void)
 {
@@ -68,7 +69,7 @@
     g_byte_array_free(b, TRUE);
 }
 
-/* Lengths that can't be: past the end, zero, a key longer than its record. */
+/* Invalid lengths: past the end, zero, a key longer than its record. */
 static void
 test_records_malformed(void)
 {
@@ -111,7 +112,7 @@
         "\"at_hand\":{\"in_memory\":[\"m\"],\"on_disk\":[\"m\",\"n\"]},"
         "\"colour\":\"unknown field\"}");
     CU_ASSERT_PTR_NOT_NULL_FATAL(u);
-    /* A number of heartbeats, not of orders. */
+    /* In an entry "sequence" counts heartbeats, not orders: it is ignored. */
     CU_ASSERT_EQUAL(u->sequence, 0);
     CU_ASSERT_EQUAL(u->born_ms, 12);
     CU_ASSERT_EQUAL(u->models->len, 1);
@@ -174,7 +175,7 @@
     CU_ASSERT(r->kind == DEP_STREAM && r->resumable && r->by_model);
     CU_ASSERT_EQUAL(r->event_timeout_ms, 3200);
     CU_ASSERT_EQUAL(r->splits->len, 2);
-    /* A kind that is not known is never repeated. */
+    /* Requests of an unknown kind are never repeated. */
     const DepRoute *novel = dep_find_route(c, "h", "/x");
     CU_ASSERT_PTR_NOT_NULL_FATAL(novel);
     g_assert(novel != NULL);
@@ -206,8 +207,8 @@
     g_array_append_val(h->headers, x);
 }
 
-/* Two prompts share their parts up to where they differ, and a part counts
-   with all parts before it. */
+/* The digest of a prompt's part covers the parts before it: two prompts that
+   differ in the first part have no digest in common. */
 static void
 test_call_headers(void)
 {
