--- a/tests/unit_platform.c
+++ b/tests/unit_platform.c
@@ -46,8 +46,7 @@
     g_byte_array_free(b, TRUE);
 }
 
-/* Truncated at every byte: only the complete records before that are
-   returned. */
+/* Truncated at every byte: only the complete records are returned. */
 static void
 test_records_cut_off(void)
 {
