--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -1,6 +1,11 @@
-/* bglade-gateway: answers callers on a platform whose store holds what must
-   last.  One loop thread does all I/O and runs the decision cores: routing
-   (ut, rb, gw), the lease (ls) and placement (mp); a second writes logs. */
+/* bglade-gateway: the gateway process.  It routes callers' requests to
+   upstreams, and, while this VM is the leader, places models on them.  All
+   state that must outlive the process is in the platform's store.
+
+   One loop thread does all I/O and runs the decision cores: routing (ut, rb,
+   gw), workspace limits (wl), the lease (ls) and placement (mp).  A second
+   thread writes logs.  This file has settings, timers, signals, start and
+   stop; the gn_ files connect the cores to the store and to other gateways. */
 #include "../platform/pf_store.h"
 #include "../platform/pf_wire.h"
 #include "gn.h"
@@ -15,95 +20,97 @@
 
 #define TICK_MS 20
 #define SLOW_TICK_MS 100
-#define LOOP_LATE_MS 150 /* a loop that is later than this is worth a line */
-#define DEMAND_MS 200
-#define NEAR_LIMIT_MS 100 /* instead, while a workspace is near its limit */
-/* A call that starts to wait is told to the placing VM this soon, with what
-   else comes meanwhile. */
+#define LOOP_LATE_MS 150  /* a later tick is logged */
+#define DEMAND_MS 200     /* reporting interval of demand and state */
+#define NEAR_LIMIT_MS 100 /* the same while a workspace is near its limit */
+/* Delay before demand is reported to the leader when a request starts to wait;
+   requests that start to wait meanwhile go into the same report. */
 #define DEMAND_DELAY_MS 2
-#define RELAYED_DEMAND_DELAY_MS 6 /* for many gateways at once */
-/* An unrenewed lease ends after this.  Shorter: a successor comes sooner;
-   longer: placement goes on through a short outage of the store. */
+#define RELAYED_DEMAND_DELAY_MS 6 /* a relay: for many gateways at once */
+/* An unrenewed lease expires after this.  A shorter term brings a new leader
+   sooner; a longer one lets placement continue through short store outages. */
 #define LEASE_TERM_MS 1500
 #define RENEW_MS 350
-/* An unrenewed right to order ends after this: two renewals may be lost, or
-   one may take as long as a slow store needs. */
+/* Without a renewal, the right to send orders expires after this.  That leaves
+   room for two lost renewals, or for one on a slow store. */
 #define ORDER_MS 1000
-/* An order's way to its upstream, and the clocks' difference in rate. */
+/* Added to the guard interval: the time that an order is in transit, and the
+   difference of clock rates. */
 #define GUARD_MARGIN_MS 200
-/* A VM with this share of a core claims the lease at once, smaller ones up to
-   so much later. */
+/* A VM with this share of a core claims the lease at once.  Smaller VMs wait,
+   the smallest for SMALL_CLAIM_MS. */
 #define LARGE_CPU_SHARE 0.5
 #define SMALL_CLAIM_MS 400
-#define LEADER_QUIET_MS                                                       \
-    450                /* two words of the holder missing: ask the store */
+/* After two missed heartbeats of the leader, ask the store. */
+#define LEADER_QUIET_MS 450
 #define CONNECT_MS 250 /* data centres are 1 to 3 ms apart */
 #define DEATH_LIMIT 3
-/* The balancer asks once a second and takes a VM out after two misses; until
-   then new connections come. */
+/* From the signal to stop on, new connections come for this long: the load
+   balancer probes once a second and takes a VM out after two failures. */
 #define LEAVE_MS 2600
-/* What is still open is answered this long before the process is killed,
-   and the answers have a moment to leave. */
+/* Before the end of grace_s: open requests are answered CLOSE_MARGIN_MS before
+   it, and the process exits GRACE_MARGIN_MS before it, when the answers have
+   been sent. */
 #define CLOSE_MARGIN_MS 1000
 #define GRACE_MARGIN_MS 700
 #define SETTINGS_POLL_S 2.
 #define LOG_STOP_MS 100
-/* Gateways are counted by the placing VM; until it has told, so many are
-   assumed to share the budget of repeats. */
+/* The leader counts the gateways that share the retry budget.  Until it has
+   reported, this many are assumed. */
 #define ASSUMED_GATEWAYS 16
-/* A placing VM that is cut off from half of what it should order leaves that
-   to another for a while. */
+/* A leader that can't reach more than half of the upstreams for YIELD_AFTER_MS
+   gives up the lease, and doesn't claim it again for YIELD_MS. */
 #define YIELD_AFTER_MS 1500
 #define YIELD_MS 8000
 
 static const IniRule rules[] = {
-    {"gateway", "name", INI_TEXT, true, NULL, 0, 0, NULL, "this VM"},
+    {"gateway", "name", INI_TEXT, true, NULL, 0, 0, NULL, "name of this VM"},
     {"gateway", "data_centre", INI_TEXT, true, NULL, 0, 0, NULL,
-     "where it stands"},
+     "data centre of this VM"},
     {"gateway", "front", INI_ADDRESS, true, NULL, 0, 0, NULL,
-     "where callers connect"},
+     "address for callers"},
     {"gateway", "ready", INI_ADDRESS, true, NULL, 0, 0, NULL,
-     "where the balancer asks for readiness"},
+     "address of the readiness probe of the load balancer"},
     {"gateway", "control", INI_ADDRESS, false, NULL, 0, 0, NULL,
-     "metrics, state dump and what a starting gateway asks of others"},
+     "address for metrics, state dump and other starting gateways"},
     {"gateway", "link", INI_ADDRESS, true, NULL, 0, 0, NULL,
-     "where other gateways link to this one"},
+     "address for links of other gateways"},
     {"gateway", "advertise", INI_ADDRESS, false, NULL, 0, 0, NULL,
-     "where others reach the link address, if not there"},
+     "address at which others reach link, if it differs"},
     {"gateway", "store", INI_ADDRESS, true, NULL, 0, 0, NULL,
-     "the platform's store"},
+     "address of the platform's store"},
     {"gateway", "seeds", INI_TEXT, false, "", 0, 0, NULL,
-     "control addresses of other gateways, by commas"},
+     "control addresses of other gateways, separated by commas"},
     {"gateway", "cpu_share", INI_NUMBER, false, "0.25", 0, 1024, NULL,
-     "of a core that this VM has; the larger places rather"},
+     "share of a core that this VM has; larger VMs claim the lease first"},
     {"gateway", "prefetch", INI_BOOL, false, "true", 0, 0, NULL,
-     "load models that nobody holds into room that is free"},
+     "load models that no upstream holds into free memory"},
     {"bounds", "retry_ratio", INI_NUMBER, false, "0.2", 0, 1000, NULL,
-     "repeats allowed for each request"},
+     "retries allowed per request"},
     {"bounds", "retry_window_s", INI_NUMBER, false, "10", 0, 3600, NULL,
-     "window in which repeats are counted"},
+     "window in which retries are counted"},
     {"bounds", "retry_slack", INI_NUMBER, false, "50", 0, 1000000, NULL,
-     "repeats allowed besides, all gateways together"},
+     "retries allowed in addition, all gateways together"},
     {"bounds", "lease_ms", INI_NUMBER, false, "3000", 0, 600000, NULL,
-     "rest between the orders of two VMs to one upstream"},
+     "guard interval between the orders of two leaders"},
     {"bounds", "grace_s", INI_NUMBER, false, "8", 0, 600, NULL,
-     "from the signal to stop to being killed"},
+     "time from the stop signal to being killed"},
     {"bounds", "fail_closed", INI_BOOL, false, "false", 0, 0, NULL,
-     "let no key in while the configuration may be older than revoke_ms"},
+     "accept no key while the configuration may be older than revoke_ms"},
     {"bounds", "revoke_ms", INI_NUMBER, false, "5000", 0, 3600000, NULL,
-     "a key that was taken away is let in no longer than this"},
+     "a revoked key is accepted for at most this time"},
     {"bounds", "limit_window_s", INI_NUMBER, false, "8", 0, 3600, NULL,
-     "window in which what a workspace was let in is counted"},
+     "window over which the use of a workspace is counted"},
     {"bounds", "limit_excess", INI_NUMBER, false, "0.1", 0, 1000, NULL,
-     "part by which a window may exceed a workspace's rate and burst"},
+     "fraction by which a window may exceed a workspace's limit"},
     {"bounds", "limit_slack", INI_NUMBER, false, "0", 0, 1000000000, NULL,
-     "tokens or requests by which it may exceed them besides"},
+     "tokens or requests by which it may exceed it in addition"},
     {"relays", "direct", INI_INT, false, "24", 0, 10000, NULL,
-     "gateways that link to the placing one before relays are used"},
+     "gateways that link to the leader before relays are used"},
     {"relays", "members", INI_INT, false, "64", 1, 10000, NULL,
      "gateways that link to one relay"},
     {"relays", "moves", INI_INT, false, "10", 1, 10000, NULL,
-     "of these, that it gets in a tenth of a second"},
+     "of these, how many it is assigned per 100 ms"},
     {NULL, NULL, INI_TEXT, false, NULL, 0, 0, NULL, NULL}};
 
 const char *
@@ -372,8 +379,8 @@
         gn_follow_fleet(g, now_ms);
         gn_tell_limits(g, now_ms);
     }
-    /* By a clock of its own: demand is also sent whenever callers begin to
-       wait, and a busy placing VM would never get to say that it lives. */
+    /* Separate from demand_ms: demand is also sent whenever a request starts
+       to wait, so a busy leader would never come to send its heartbeat. */
     if (now_ms >= g->state_ms + DEMAND_MS) {
         g->state_ms = now_ms;
         gn_tell_the_rest(g);
@@ -381,8 +388,8 @@
     }
 }
 
-/* Whoever reads the logs of a late answer needs to know that the process
-   itself was late: frozen, out of processor time, or busy with something. */
+/* Logs late ticks.  They show that an answer came late because the process was
+   suspended, short of CPU time or busy. */
 static void
 note_lateness(Gateway *g, uint64_t now_ms)
 {
@@ -473,7 +480,7 @@
 {
     (void)loop;
     (void)events;
-    if (w->attr.st_nlink) { /* else it is just being replaced */
+    if (w->attr.st_nlink) { /* else the file is being replaced */
         reload(w->data);
     }
 }
@@ -503,7 +510,8 @@
     return g->ready != NULL;
 }
 
-/* Placing takes a core's share on one VM: with 75 gateways 0.1 core. */
+/* Leadership costs CPU time (0.1 core with 75 gateways), so larger VMs claim
+   the lease first. */
 static uint32_t
 get_claim_delay_ms(const Gateway *g)
 {
@@ -575,7 +583,7 @@
     ev_signal_start(g->loop, &g->hup);
 }
 
-/* Whatever may still call back goes before what it calls. */
+/* What may still run callbacks is destroyed before what they use. */
 static void
 destroy_all(Gateway *g)
 {
@@ -631,7 +639,7 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     g->loop = ev_loop_new(EVBACKEND_EPOLL | EVFLAG_NOENV | EVFLAG_NOINOTIFY);
     if (!g->loop) {
-        fprintf(stderr, "no event loop\n");
+        fprintf(stderr, "can't create the event loop\n");
         return 1;
     }
     g->pool = ht_create_pool(g->loop);
@@ -659,7 +667,7 @@
 }
 
 typedef struct {
-    const char *path; /* NULL: not named */
+    const char *path; /* NULL: not given */
     bool check_only;
     bool print_settings;
 } Arguments;
@@ -702,8 +710,10 @@
          "print every setting with its default", 0},
         {0}};
     static const struct argp argp = {
-        options, parse_option, NULL, "Answer callers of a platform.",
-        NULL,    NULL,         NULL};
+        options, parse_option,
+        NULL,    "Route callers' requests to the upstreams of a platform.",
+        NULL,    NULL,
+        NULL};
     Arguments a = {.path = getenv("BITTERNGLADE_SETTINGS")};
     argp_parse(&argp, argc, argv, 0, NULL, &a);
     if (a.print_settings) {
@@ -711,10 +721,13 @@
         return 0;
     }
     if (!a.path) {
-        fprintf(stderr, "no settings file was named\n");
+        fprintf(
+            stderr,
+            "no settings file given (--settings or $BITTERNGLADE_SETTINGS)\n");
         return 2;
     }
-    /* One arena: threads here allocate little, and memory is dear. */
+    /* One malloc arena: the second thread allocates little, and more arenas
+       cost memory. */
     mallopt(M_ARENA_MAX, 1);
     signal(SIGPIPE, SIG_IGN);
     g_autoptr(GString) faults = g_string_new(NULL);
