--- a/src/gw.c
+++ b/src/gw.c
@@ -973,7 +973,8 @@
             q->gw->out.upstream_unreachable(q->gw->out.ctx, ut_get_id(q->ut));
         }
         finish_call(q, UT_END_DEAD);
-        q->retry_counted = q->sends > 0; /* that retry never left */
+        q->retry_counted =
+            q->sends > 0; /* the retry never left this process */
         try_send(q);
         return;
     }
