--- a/src/gw.c
+++ b/src/gw.c
@@ -8,67 +8,75 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The caller's clock started before ours: an answer that it is to see in
-   time leaves this much before its deadline. */
+/* Subtracted from the caller's deadline: its clock started before ours, and
+   the answer still has to reach it. */
 #define DEADLINE_MARGIN_MS 80
-#define NO_LIMIT_MS 60000 /* neither the caller nor the route sets one */
-/* An upstream that takes several times the usual is taken for silent, where
-   the request may be sent elsewhere. */
+/* If neither the caller nor the route sets one. */
+#define DEFAULT_TIMEOUT_MS 60000
+/* An upstream counts as silent after SILENT_FACTOR times its usual time to
+   first byte, but not before the minimum for the kind of route, nor, for a
+   stream, before SILENT_OBJECTIVE of its objective_ms.  Only requests that may
+   be repeated are then sent elsewhere. */
 #define SILENT_FACTOR 4
 #define SILENT_MIN_PLAIN_MS 120
 #define SILENT_MIN_STREAM_MS 700
-#define SILENT_OBJECTIVE 0.8 /* of the route's objective for a first event */
-/* Pause inside a stream after which it is resumed elsewhere, in pauses that
-   the route allows; without that figure the fixed time. */
+#define SILENT_OBJECTIVE 0.8
+/* Pause within a stream after which it is resumed elsewhere, as a multiple of
+   the route's gap_ms, or SILENT_GAP_MS if the route has none. */
 #define SILENT_GAPS 2
 #define SILENT_GAP_MS 1000
-/* An upstream that is busy, not dead, is left only for one with less than this
-   share of its load, and so many less. */
-#define LESS_LOAD 0.5
-#define LESS_REQUESTS 2
-/* A dead one is left for any that has not so many more. */
-#define MORE_REQUESTS 4
-/* Kept connections older than this aren't used for what may not be sent
-   twice: a close that crosses the request would lose it. */
-#define MAX_IDLE_ONCE_MS 1500
-#define DEATH_LIFE_MS 120000
-/* A refusal without a better estimate: until a VM or upstream is back. */
+/* A silent upstream that still answers others is busy.  Its request moves only
+   to one whose load, plus these requests, is below this share of its own. */
+#define BUSY_SWITCH_LOAD_RATIO 0.5
+#define BUSY_SWITCH_FEWER_REQUESTS 2
+/* From one that answers nobody, the request moves unless the other has at
+   least this many requests more. */
+#define DEAD_SWITCH_MORE_REQUESTS 4
+/* Connections that were idle for longer are not reused for a request that may
+   not be sent twice: it would be lost if the upstream closed the connection at
+   the same moment. */
+#define MAX_IDLE_NO_REPEAT_MS 1500
+#define DEATH_KEEP_MS 120000
+/* Retry-After of a refusal without a better estimate: about the time until a
+   VM or upstream is back. */
 #define RETRY_SOON_MS 200
 #define RETRY_LATER_MS 1000
-#define RETRY_STOP_MS 50 /* another gateway takes it at once */
-/* A service without any upstream is waited for this long: its list may be
-   behind. */
+#define RETRY_STOPPING_MS 50 /* another gateway accepts it at once */
+/* A request for a service without upstreams waits this long: the list may be
+   out of date. */
 #define EMPTY_WAIT_MS 150
-/* A process that starts is told its first configuration within this, or the
-   store is away.  What comes before waits for it: the callers' other gateways
-   may be starting too, and they come back only once or twice. */
-#define START_MS 1000
-#define START_WAIT_MS 450 /* of one request */
-/* After its configuration the longest list of upstreams has come within this,
-   or the store is away. */
-#define LIST_MS 5000
-/* A placing VM that isn't heard for so long is lost, and another orders so
-   long after it was last heard: the lease, the claim, the rest. */
-#define PLACER_LOST_MS 1000
-#define PLACER_MOVES_MS 5200
-#define PLACER_BACK_MS 400 /* it is overdue: may be back at any moment */
-#define WAIT_LIFE_MS 1500  /* an estimate older than this is forgotten */
-/* A request is not sent behind others that take longer to begin than this
-   part of its route's objective: a queue that is longer makes all answers late
-   and none more, since the upstream begins as many a second with a short one.
- */
-#define QUEUE_OBJECTIVES 1.25
-/* Least time in which a model that has just come can still answer. */
-#define SERVE_MS 150
-/* On the wire 0 is first, 9 last, 5 usual. */
+/* After its start a process gets the first configuration within this time,
+   unless the store is unreachable.  Requests that come earlier wait for it:
+   other gateways may be starting as well, and callers retry only once or
+   twice. */
+#define FIRST_CONFIG_TIMEOUT_MS 1000
+#define START_MAX_WAIT_MS 450 /* limit for one request */
+/* The longest list of upstreams is complete within this time after the first
+   configuration, unless the store is unreachable. */
+#define FIRST_LIST_TIMEOUT_MS 5000
+/* The leader counts as lost after this time without contact. */
+#define LEADER_LOST_MS 1000
+/* From the last contact with a lost leader to the first order of the next: the
+   rest of the lease, the claim, the guard interval. */
+#define LEADER_CHANGE_MS 5200
+#define LEADER_OVERDUE_MS 400    /* assumed when the next leader is overdue */
+#define ESTIMATE_MAX_AGE_MS 1500 /* older ones are ignored */
+/* A request is refused rather than queued at an upstream where it would wait
+   longer than this multiple of its route's objective.  A longer queue makes
+   all answers late and raises no throughput: the upstream begins as many
+   requests a second with a short one. */
+#define MAX_QUEUE_OBJECTIVES 1.25
+/* A model must be loaded this long before the caller leaves to be of use. */
+#define MIN_SERVE_MS 150
+/* Urgency on the wire: 0 is the most urgent, 5 the default, 9 the least. */
 #define FIRST_URGENCY 3
 #define URGENCY_STEP 2
 #define LAST_URGENCY 9
-/* Parts of what a route allows, after which a request is about to be late: of
-   its objective without a first byte, of its gap without a next event. */
-#define SLOW_WAIT 0.6
+/* A request is counted as slow after this part of its route's objective_ms
+   without a first byte, or of its gap_ms without a next event. */
+#define SLOW_FIRST_BYTE 0.6
 #define SLOW_PAUSE 0.8
-#define MAX_SENDS 6 /* of one request, those that ran nothing included */
+#define MAX_SENDS 6 /* of one request, including sends that ran nothing */
 
 typedef enum { REQ_WAITING, REQ_SENT } ReqState;
 
@@ -76,66 +84,68 @@
     Gw *gw;
     HtExchange *x;
     DepConfig *config;
-    const DepRoute *route;         /* of that configuration */
-    const DepWorkspace *workspace; /* ... too; NULL: none is asked for */
-    const char *service;           /* of that route */
+    const DepRoute *route;         /* in config */
+    const DepWorkspace *workspace; /* in config; NULL: no key is required */
+    const char *service;           /* picked from route's splits */
     DepCall call;
     UtQuery query;
-    GPtrArray *tried; /* Ut: not to be used again */
-    double cost;      /* against its workspace's limit, let in; 0: nothing */
-    uint64_t digest;  /* of what the caller asks, whoever carries it */
+    GPtrArray *tried; /* Ut: excluded from the choice */
+    double cost;      /* charged to the workspace's limit; 0: none */
+    uint64_t digest;  /* of target and body; the same for each retry */
     uint64_t arrival_ms;
-    uint64_t final_ms;    /* an answer, of whatever kind, is out by then */
-    uint64_t first_by_ms; /* the caller leaves when it has nothing by then */
+    uint64_t answer_by_ms;     /* any answer is sent by then */
+    uint64_t first_byte_by_ms; /* the caller leaves without a byte by then */
     ReqState state;
-    const char *waits_for;  /* for the log */
-    const char *waited_for; /* the first thing that it waited for */
-    GList *link;            /* in the gateway's requests */
+    const char *waiting_for; /* for the log */
+    const char *waited_for;  /* first value of waiting_for */
+    GList *link;             /* in gw->reqs */
 
-    /* the call that is out */
+    /* the upstream call in progress */
     HtCall *hc;
     Ut *ut;
     char *last_upstream; /* for the log */
     uint64_t sent_ms;
     uint64_t first_ms; /* 0: no byte of an answer yet */
-    uint64_t heard_ms;
-    uint64_t event_ms;     /* when an event last went out; 0: none yet */
-    uint32_t worst_gap_ms; /* between two events that went out */
-    uint64_t last_gap_ms;  /* between the last two */
-    char *gap_upstream;    /* that made it, for the log */
+    uint64_t last_data_ms;
+    uint64_t last_event_ms; /* last event forwarded at; 0: none yet */
+    uint32_t max_gap_ms;    /* between two forwarded events */
+    uint64_t last_gap_ms;   /* between the last two */
+    char *gap_upstream;     /* that caused max_gap_ms, for the log */
 
     uint32_t sends; /* that reached an upstream */
     uint32_t runs;  /* that may have run */
 
-    /* the answer, if it is not passed on as it comes */
+    /* the answer, unless its events are forwarded as they come */
     GString *head;
     GByteArray *body;
-    /* a failure that an upstream answered, kept while another is tried */
+    /* an upstream's 5xx answer, kept while another upstream is tried */
     GString *kept_head;
     GByteArray *kept_body;
 
-    /* the stream that is passed on */
-    GString *partial; /* bytes of an event that is not whole */
-    int64_t last_event;
-
-    uint16_t status;      /* of the answer to the call that is out */
-    uint16_t kept_status; /* of the kept failure */
-    bool lacks_model;     /* waiting: nobody holds even the model */
-    bool not_run;         /* the upstream says so */
-    bool takes_stream;    /* events of the call go to the caller */
-    bool streaming;       /* the stream's head is out */
-    bool paid;            /* the next send is already counted as a repeat */
+    /* the stream that is forwarded */
+    GString *partial;   /* bytes of an incomplete event */
+    int64_t last_event; /* id of the last one that the caller has */
+
+    uint16_t status;      /* of the answer to the current call */
+    uint16_t kept_status; /* of the kept answer */
+    bool lacks_model;     /* waiting: for the model, not an adapter */
+    bool not_run;         /* as the upstream's answer says */
+    bool forwards_events; /* of the current call, to the caller */
+    bool streaming;       /* the head of the stream was sent */
+    bool retry_counted;   /* the budget already paid for the next send */
 } Req;
 
+/* Upstreams that broke off while they ran one request. */
 typedef struct {
-    GHashTable *upstreams; /* set: those that ended under it */
+    GHashTable *upstreams; /* set of ids */
     uint64_t last_ms;
 } Deaths;
 
+/* The leader's estimate of when a model is loaded. */
 typedef struct {
-    uint64_t said_ms;
+    uint64_t reported_ms;
     uint32_t wait_ms;
-} Wait;
+} WaitEstimate;
 
 struct Gw {
     GwParams params;
@@ -146,25 +156,25 @@
     Rb *budget;
     Wl *limits;         /* of workspaces */
     DepConfig *config;  /* NULL: none yet */
-    uint64_t config_ms; /* when the first was taken */
+    uint64_t config_ms; /* when the first came */
     uint64_t start_ms;
-    GQueue early;        /* HtExchange: came before the first configuration */
+    GQueue early;        /* HtExchange: before the first configuration */
     GQueue reqs;         /* Req */
     GHashTable *arrived; /* model or "model/adapter" -> count */
-    GHashTable *hurried; /* of these: late after a load from a disk */
-    GHashTable *refused; /* model -> count: too many waited */
-    GHashTable *began;   /* upstream -> count of answers that began there */
-    GHashTable *waits;   /* model -> Wait */
-    GHashTable *deaths;  /* digest -> Deaths */
-    Hist *whole_us;      /* from a request's arrival to its answer's end */
-    Hist *first_us;      /* ... to its first byte */
-    uint64_t placer_ms;  /* when the placing VM was last heard */
-    uint64_t orders_ms;  /* when it gives its first order */
+    GHashTable *hurried; /* of these: too late if loaded from disk */
+    GHashTable *refused; /* model -> count: the queue was too long */
+    GHashTable *began;   /* upstream -> count of begun answers */
+    GHashTable *wait_estimates; /* model -> WaitEstimate */
+    GHashTable *deaths;         /* digest -> Deaths */
+    Hist *answer_us; /* from a request's arrival to the end of its answer */
+    Hist *first_byte_us;     /* ... to its first byte */
+    uint64_t leader_ms;      /* last contact with the leader */
+    uint64_t first_order_ms; /* when the leader sends its first order */
     BgRandom rng;
-    bool closed;    /* takes no more requests */
-    bool behind;    /* a newer configuration than ours is known to exist */
-    bool stale;     /* keys may have been taken away unheard */
-    bool knows_all; /* upstreams */
+    bool closed;             /* accepts no more requests */
+    bool behind;             /* a newer configuration exists */
+    bool stale;              /* keys may have been revoked since */
+    bool upstreams_complete; /* the list was read to its end */
 };
 
 static void try_send(Req *q);
@@ -187,7 +197,7 @@
     g_string_append(out, "\r\n");
 }
 
-/* RETRY_MS: until the caller may come back; 0: nothing is said. */
+/* RETRY_MS: time until the caller may retry; 0: no header. */
 static void
 append_retry(GString *out, uint32_t retry_ms)
 {
@@ -196,7 +206,7 @@
     }
 }
 
-/* ---- ends --------------------------------------------------------------- */
+/* ---- results ------------------------------------------------------------ */
 
 static void
 count_end(const Req *q, const char *outcome, uint64_t now_ms)
@@ -215,18 +225,18 @@
     }
     bg_count("gateway_sends_total", q->sends + (q->ut != NULL));
     if (strcmp(outcome, "answered") == 0) {
-        hist_add(q->gw->whole_us, (now_ms - q->arrival_ms) * 1000);
-        hist_add(q->gw->first_us, (q->first_ms - q->arrival_ms) * 1000);
+        hist_add(q->gw->answer_us, (now_ms - q->arrival_ms) * 1000);
+        hist_add(q->gw->first_byte_us, (q->first_ms - q->arrival_ms) * 1000);
     }
 }
 
-/* Against what its route asks for; NULL: in time. */
+/* Which objectives of its route the answer missed; NULL: none. */
 static const char *
 describe_lateness(const Req *q)
 {
     bool first = q->route->objective_ms && q->first_ms &&
                  q->first_ms - q->arrival_ms > q->route->objective_ms;
-    bool pause = q->route->gap_ms && q->worst_gap_ms > q->route->gap_ms;
+    bool pause = q->route->gap_ms && q->max_gap_ms > q->route->gap_ms;
     return first && pause ? "first byte and pause"
            : first        ? "first byte"
            : pause        ? "pause"
@@ -253,8 +263,8 @@
     if (q->first_ms) {
         jl_number(l, "first_ms", (int64_t)(q->first_ms - q->arrival_ms));
     }
-    if (q->worst_gap_ms) {
-        jl_number(l, "gap_ms", q->worst_gap_ms);
+    if (q->max_gap_ms) {
+        jl_number(l, "gap_ms", q->max_gap_ms);
         jl_text(l, "gap_upstream", q->gap_upstream);
     }
     jl_text(l, "late", q->route ? describe_lateness(q) : NULL);
@@ -284,9 +294,9 @@
     g_free(q);
 }
 
-/* The call is over; its upstream is judged by END. */
+/* The call is over; END updates the state of its upstream. */
 static void
-release(Req *q, UtOutcome end)
+finish_call(Req *q, UtOutcome end)
 {
     if (!q->ut) {
         return;
@@ -301,12 +311,12 @@
 }
 
 static void
-drop_call(Req *q, UtOutcome end)
+cancel_call(Req *q, UtOutcome end)
 {
     if (q->hc) {
         ht_cancel_call(q->hc);
     }
-    release(q, end);
+    finish_call(q, end);
 }
 
 static void
@@ -324,9 +334,9 @@
     return status == 503 ? "refused" : status == 429 ? "limited" : "failed";
 }
 
-/* Q has not run and never will: its workspace may ask for as much again. */
+/* Q has not run and never will: its cost is credited to the workspace. */
 static void
-give_back(Req *q)
+refund_limit(Req *q)
 {
     if (q->cost > 0) {
         wl_give_back(q->gw->limits, bg_boot_ms(), q->workspace, q->cost);
@@ -334,18 +344,19 @@
     }
 }
 
-/* Answer the caller ourselves.  Q is gone after it. */
+/* Sends the gateway's own answer.  Frees Q. */
 static void
 answer(Req *q, uint16_t status, uint32_t retry_ms, const char *why)
 {
     log_end(q, name_outcome(status), status, why);
     if (status == 503) {
-        give_back(q);
+        refund_limit(q);
     }
-    drop_call(q, UT_OUTCOME_NEUTRAL);
+    cancel_call(q, UT_OUTCOME_NEUTRAL);
     HtExchange *x = q->x;
     if (q->streaming) {
-        /* Its head is out: only an end that is visibly not whole is left. */
+        /* The head was sent, so the status can't change: the stream is
+           visibly truncated. */
         free_req(q);
         ht_abort_answer(x);
         return;
@@ -367,18 +378,19 @@
            (q->route->kind == DEP_STREAM && q->route->resumable);
 }
 
-/* Nothing more can be done.  A refusal is true only if nothing ran. */
+/* Ends a request that can't be served.  503 may be sent only if nothing ran.
+   Frees Q. */
 static void
 give_up(Req *q, uint32_t retry_ms, const char *why)
 {
     if (q->kept_head && !q->streaming) {
-        /* The upstream's own failure tells the caller more than ours. */
+        /* The upstream's own error tells the caller more than a 502. */
         HtExchange *x = q->x;
         g_autoptr(GString) head = g_steal_pointer(&q->kept_head);
         g_autoptr(GByteArray) body = g_steal_pointer(&q->kept_body);
         uint16_t status = q->kept_status;
         log_end(q, "passed-on", status, why);
-        drop_call(q, UT_OUTCOME_NEUTRAL);
+        cancel_call(q, UT_OUTCOME_NEUTRAL);
         free_req(q);
         send_whole(x, status, head, body);
         return;
@@ -387,7 +399,7 @@
         answer(q, 503, retry_ms ? retry_ms : RETRY_SOON_MS, why);
     }
     else {
-        answer(q, bg_boot_ms() >= q->final_ms ? 504 : 502, 0, why);
+        answer(q, bg_boot_ms() >= q->answer_by_ms ? 504 : 502, 0, why);
     }
 }
 
@@ -400,8 +412,9 @@
                                                       : q->route->priority;
 }
 
-/* Upstreams take the more urgent first: the operators' highest rank goes
-   before the rank that is usual, each further one behind it. */
+/* Upstreams run the more urgent requests first.  The operators' priority 0
+   maps to FIRST_URGENCY, ahead of the default 5; each further one is less
+   urgent. */
 static uint32_t
 get_urgency(const Req *q)
 {
@@ -430,7 +443,7 @@
         g_string_append_printf(head, "%s: %lld\r\n", w->last_event,
                                (long long)q->last_event);
     }
-    uint64_t left_ms = q->final_ms > now_ms ? q->final_ms - now_ms : 1;
+    uint64_t left_ms = q->answer_by_ms > now_ms ? q->answer_by_ms - now_ms : 1;
     g_string_append_printf(head, "%s: %llu\r\n", w->deadline_ms,
                            (unsigned long long)left_ms);
     append_line(head, w->expected_upstream, ut_get_id(q->ut));
@@ -463,11 +476,11 @@
     g_free(q->last_upstream);
     q->last_upstream = g_strdup(ut_get_id(ut));
     q->sent_ms = now_ms;
-    q->heard_ms = now_ms;
+    q->last_data_ms = now_ms;
     q->first_ms = 0;
     q->last_gap_ms = 0;
     q->not_run = false;
-    q->takes_stream = false;
+    q->forwards_events = false;
     q->status = 0;
     g_string_truncate(q->partial, 0);
     ut_start(ut);
@@ -477,7 +490,7 @@
         .connect_ms = q->gw->params.connect_ms,
         .match_name = q->gw->wire->attempt_id,
         .match_value = q->call.attempt_id,
-        .max_idle_ms = may_repeat(q) ? 0 : MAX_IDLE_ONCE_MS,
+        .max_idle_ms = may_repeat(q) ? 0 : MAX_IDLE_NO_REPEAT_MS,
     };
     if (!q->call.attempt_id) {
         req.match_name = NULL;
@@ -492,49 +505,52 @@
         jl_number(l, "running", ut_get_running(ut));
         jl_number(l, "load", (int64_t)ut_get_load(ut, now_ms));
         jl_number(l, "tokens", q->call.prompt_tokens);
-        jl_number(l, "left_ms", (int64_t)(q->final_ms - now_ms));
+        jl_number(l, "left_ms", (int64_t)(q->answer_by_ms - now_ms));
         jl_end(l);
     }
 }
 
 /* ---- waiting ------------------------------------------------------------ */
 
-/* Until the placing VM orders anything; 0: it does. */
+/* Time until a leader can send orders; 0: it can now. */
 static uint32_t
-get_placer_wait_ms(const Gw *g, uint64_t now_ms)
+get_leader_wait_ms(const Gw *g, uint64_t now_ms)
 {
-    if (now_ms > g->placer_ms + PLACER_LOST_MS) {
-        uint64_t back_ms = g->placer_ms + PLACER_MOVES_MS;
-        return back_ms > now_ms + PLACER_BACK_MS ? (uint32_t)(back_ms - now_ms)
-                                                 : PLACER_BACK_MS;
+    if (now_ms > g->leader_ms + LEADER_LOST_MS) {
+        uint64_t back_ms = g->leader_ms + LEADER_CHANGE_MS;
+        return back_ms > now_ms + LEADER_OVERDUE_MS
+                   ? (uint32_t)(back_ms - now_ms)
+                   : LEADER_OVERDUE_MS;
     }
-    return g->orders_ms > now_ms ? (uint32_t)(g->orders_ms - now_ms) : 0;
+    return g->first_order_ms > now_ms ? (uint32_t)(g->first_order_ms - now_ms)
+                                      : 0;
 }
 
 static uint32_t
 get_wait_ms(const Req *q, uint64_t now_ms)
 {
-    uint32_t placer_ms = get_placer_wait_ms(q->gw, now_ms);
-    const Wait *w = g_hash_table_lookup(q->gw->waits, q->query.model);
-    if (!w || now_ms - w->said_ms > WAIT_LIFE_MS) {
-        return placer_ms;
+    uint32_t leader_ms = get_leader_wait_ms(q->gw, now_ms);
+    const WaitEstimate *w =
+        g_hash_table_lookup(q->gw->wait_estimates, q->query.model);
+    if (!w || now_ms - w->reported_ms > ESTIMATE_MAX_AGE_MS) {
+        return leader_ms;
     }
-    uint64_t gone_ms = now_ms - w->said_ms;
+    uint64_t gone_ms = now_ms - w->reported_ms;
     uint32_t load_ms =
         w->wait_ms > gone_ms ? w->wait_ms - (uint32_t)gone_ms : 1;
-    return placer_ms + load_ms;
+    return leader_ms + load_ms;
 }
 
 static void
 wait_for(Req *q, uint64_t now_ms, const char *what)
 {
     if (q->gw->closed) {
-        give_up(q, RETRY_STOP_MS, "the gateway stops");
+        give_up(q, RETRY_STOPPING_MS, "the gateway stops");
         return;
     }
-    bool begins = q->state != REQ_WAITING || !q->waits_for;
+    bool begins = q->state != REQ_WAITING || !q->waiting_for;
     q->state = REQ_WAITING;
-    q->waits_for = what;
+    q->waiting_for = what;
     q->waited_for = q->waited_for ? q->waited_for : what;
     if (begins && q->query.model) {
         JlLine *l = jl_begin("request-waits");
@@ -544,49 +560,53 @@
         jl_text(l, "adapter", q->call.adapter);
         jl_number(l, "estimate_ms", get_wait_ms(q, now_ms));
         jl_end(l);
-        q->gw->out.wanted(q->gw->out.ctx);
+        q->gw->out.demand_changed(q->gw->out.ctx);
     }
 }
 
-/* The caller leaves then if it has heard nothing more. */
+/* Time at which the caller disconnects if it receives nothing more. */
 static uint64_t
-get_leave_time(const Req *q)
+get_disconnect_ms(const Req *q)
 {
     if (!q->streaming) {
-        return q->first_by_ms;
+        return q->first_byte_by_ms;
     }
-    return q->route->patience_ms
-               ? MIN(q->final_ms, q->event_ms + q->route->patience_ms)
-               : q->final_ms;
+    return q->route->event_timeout_ms
+               ? MIN(q->answer_by_ms,
+                     q->last_event_ms + q->route->event_timeout_ms)
+               : q->answer_by_ms;
 }
 
-/* A model that comes too late is refused now, with the time at which it
-   should be there. */
+/* Refuses the request at once if the model is estimated to come too late, with
+   the estimate as Retry-After. */
 static void
 wait_for_model(Req *q, uint64_t now_ms, const char *what)
 {
     uint32_t wait_ms = get_wait_ms(q, now_ms);
-    if (wait_ms && now_ms + wait_ms + SERVE_MS > get_leave_time(q)) {
+    if (wait_ms && now_ms + wait_ms + MIN_SERVE_MS > get_disconnect_ms(q)) {
         give_up(q, wait_ms, "model can't be loaded in time");
         return;
     }
     wait_for(q, now_ms, what);
 }
 
-/* What has run already is sent on, however long that takes. */
+/* Longest queueing time to accept at an upstream; 0: any, if the request has
+   already run somewhere or its route has no objective. */
 static uint32_t
-get_most_wait_ms(const Req *q, uint64_t now_ms)
+get_max_wait_ms(const Req *q, uint64_t now_ms)
 {
     if (q->runs > 0 || q->route->objective_ms == 0) {
         return 0;
     }
-    uint64_t left_ms = q->first_by_ms - now_ms;
+    uint64_t left_ms = q->first_byte_by_ms - now_ms;
     return (uint32_t)MAX(
-        MIN(q->route->objective_ms * QUEUE_OBJECTIVES, (double)left_ms), 1);
+        MIN(q->route->objective_ms * MAX_QUEUE_OBJECTIVES, (double)left_ms),
+        1);
 }
 
-/* It can't begin in time behind those that wait: refused now, to come back
-   when these will have begun.  Not all at the same moment. */
+/* Even on the least busy upstream the request can't begin in time.  It may
+   come back when the queue there is short enough; a random part spreads the
+   retries. */
 static void
 refuse_busy(Req *q, uint64_t now_ms, const Ut *least_busy)
 {
@@ -599,14 +619,15 @@
     give_up(q, RETRY_SOON_MS + over_ms + spread, "too many wait");
 }
 
-/* The upstream that could serve it may be among those that this process, which
-   has just started, doesn't know yet. */
+/* The process has just started: an upstream that could serve the request may
+   be in the part of the list that was not read yet. */
 static bool
-may_be_unknown(const Req *q, uint64_t now_ms)
+may_be_unlisted(const Req *q, uint64_t now_ms)
 {
     const Gw *g = q->gw;
-    return !g->knows_all && now_ms < g->config_ms + LIST_MS &&
-           now_ms < q->arrival_ms + START_WAIT_MS;
+    return !g->upstreams_complete &&
+           now_ms < g->config_ms + FIRST_LIST_TIMEOUT_MS &&
+           now_ms < q->arrival_ms + START_MAX_WAIT_MS;
 }
 
 static void
@@ -620,24 +641,25 @@
 try_send(Req *q)
 {
     uint64_t now_ms = bg_boot_ms();
-    if (now_ms >= q->final_ms || (!q->streaming && now_ms >= q->first_by_ms)) {
+    if (now_ms >= q->answer_by_ms ||
+        (!q->streaming && now_ms >= q->first_byte_by_ms)) {
         give_up(q, RETRY_SOON_MS, "deadline");
         return;
     }
-    /* It left while it waited: nothing is begun for it. */
+    /* The caller left while the request waited: don't send it. */
     if (ht_is_gone(q->x)) {
         q->state = REQ_WAITING;
-        q->waits_for = "nothing: the caller is gone";
+        q->waiting_for = "nothing: caller disconnected";
         return;
     }
     if (q->sends >= MAX_SENDS) {
-        give_up(q, RETRY_SOON_MS, "turned away too often");
+        give_up(q, RETRY_SOON_MS, "too many sends");
         return;
     }
     Ut *ut = NULL;
-    q->query.max_wait_ms = get_most_wait_ms(q, now_ms);
+    q->query.max_wait_ms = get_max_wait_ms(q, now_ms);
     UtChoice found = ut_choose(q->gw->upstreams, now_ms, &q->query, &ut);
-    if (!ut && may_be_unknown(q, now_ms)) {
+    if (!ut && may_be_unlisted(q, now_ms)) {
         wait_for_list(q, now_ms);
         return;
     }
@@ -646,12 +668,12 @@
         refuse_busy(q, now_ms, ut);
         return;
     case UT_FOUND:
-        if (q->sends > 0 && !q->paid &&
+        if (q->sends > 0 && !q->retry_counted &&
             !rb_take(q->gw->budget, now_ms, q->service)) {
-            give_up(q, RETRY_LATER_MS, "no budget for a repeat");
+            give_up(q, RETRY_LATER_MS, "no budget for a retry");
             return;
         }
-        q->paid = false;
+        q->retry_counted = false;
         send_to(q, ut, now_ms);
         return;
     case UT_COLD:
@@ -666,13 +688,13 @@
         wait_for(q, now_ms, "slot");
         return;
     case UT_UNREACHABLE:
-        /* The placing VM may have the model loaded elsewhere. */
+        /* The leader may have the model loaded elsewhere. */
         q->lacks_model = true;
         if (q->query.model) {
-            wait_for_model(q, now_ms, "upstream that answers");
+            wait_for_model(q, now_ms, "reachable upstream");
         }
         else {
-            wait_for(q, now_ms, "upstream that answers");
+            wait_for(q, now_ms, "reachable upstream");
         }
         return;
     case UT_NONE:
@@ -684,9 +706,9 @@
         return;
     case UT_TRIED:
         if (q->tried->len > 0 && (q->runs == 0 || may_repeat(q))) {
-            /* Those that broke off may serve it after all: most are well, and
-               one that is gone can't be reached, which has the model loaded
-               elsewhere. */
+            /* Try the upstreams that broke off once more: most of them are
+               well, and one that is gone will be found unreachable, so that
+               the leader has the model loaded elsewhere. */
             g_ptr_array_set_size(q->tried, 0);
             wait_for(q, now_ms, "slot");
             return;
@@ -696,7 +718,7 @@
     }
 }
 
-/* ---- what comes back ---------------------------------------------------- */
+/* ---- upstream answers --------------------------------------------------- */
 
 static void
 copy_headers(const HtHead *head, GString *out)
@@ -718,7 +740,7 @@
     const GwWire *w = q->gw->wire;
     uint64_t now_ms = bg_boot_ms();
     q->first_ms = now_ms;
-    q->heard_ms = now_ms;
+    q->last_data_ms = now_ms;
     q->status = head->status;
     q->not_run = head->status == 421 || ht_find_header(head, w->not_run);
     if (q->query.model && !q->not_run) {
@@ -732,12 +754,11 @@
     if (!q->streaming) {
         copy_headers(head, q->head);
     }
-    q->takes_stream =
+    q->forwards_events =
         q->route->kind == DEP_STREAM && head->status == 200 && !q->not_run;
 }
 
-/* Length of the first whole event in TEXT, its blank line included; 0: it
-   is not whole yet. */
+/* Length of the first event in TEXT with its blank line; 0: incomplete. */
 static size_t
 find_event_end(const GString *text)
 {
@@ -776,20 +797,20 @@
 note_event(Req *q)
 {
     uint64_t now_ms = bg_boot_ms();
-    uint64_t gap_ms = q->event_ms ? now_ms - q->event_ms : 0;
-    if (gap_ms > q->worst_gap_ms) {
-        q->worst_gap_ms = (uint32_t)gap_ms;
+    uint64_t gap_ms = q->last_event_ms ? now_ms - q->last_event_ms : 0;
+    if (gap_ms > q->max_gap_ms) {
+        q->max_gap_ms = (uint32_t)gap_ms;
         g_free(q->gap_upstream);
         q->gap_upstream = g_strdup(ut_get_id(q->ut));
     }
     q->last_gap_ms = gap_ms;
-    q->event_ms = now_ms;
+    q->last_event_ms = now_ms;
 }
 
-/* Only whole events are passed on, so that after a break the next upstream
-   goes on exactly behind what the caller has. */
+/* Forwards only complete events, so that after a break the next upstream
+   resumes exactly behind what the caller has. */
 static void
-pass_events(Req *q)
+forward_events(Req *q)
 {
     size_t len;
     while ((len = find_event_end(q->partial)) > 0) {
@@ -809,10 +830,10 @@
 {
     (void)call;
     Req *q = ctx;
-    q->heard_ms = bg_boot_ms();
-    if (q->takes_stream) {
+    q->last_data_ms = bg_boot_ms();
+    if (q->forwards_events) {
         g_string_append_len(q->partial, data, (gssize)len);
-        pass_events(q);
+        forward_events(q);
         return;
     }
     g_byte_array_append(q->body, (const guint8 *)data, (guint)len);
@@ -824,18 +845,18 @@
     start_stream(q);
     ht_write_answer(q->x, q->partial->str, q->partial->len);
     log_end(q, "answered", q->status, NULL);
-    release(q, UT_OUTCOME_GOOD);
+    finish_call(q, UT_OUTCOME_GOOD);
     HtExchange *x = q->x;
     free_req(q);
     ht_end_answer(x);
 }
 
 static void
-pass_on(Req *q)
+forward_answer(Req *q)
 {
     HtExchange *x = q->x;
     log_end(q, "answered", q->status, NULL);
-    release(q, q->status >= 500 ? UT_OUTCOME_FAILED : UT_OUTCOME_GOOD);
+    finish_call(q, q->status >= 500 ? UT_OUTCOME_FAILED : UT_OUTCOME_GOOD);
     uint16_t status = q->status;
     g_autoptr(GString) head =
         g_string_new_len(q->head->str, (gssize)q->head->len);
@@ -845,13 +866,13 @@
     send_whole(x, status, head, body);
 }
 
-/* Whether another upstream may be tried after this one may have run it. */
+/* Whether the request may be sent again after an upstream may have run it. */
 static bool
 may_run_again(const Req *q, uint64_t now_ms)
 {
     const Deaths *d = g_hash_table_lookup(q->gw->deaths, &q->digest);
     return may_repeat(q) && q->runs < q->route->attempts &&
-           now_ms + 20 < q->final_ms &&
+           now_ms + 20 < q->answer_by_ms &&
            !(d && g_hash_table_size(d->upstreams) > 1);
 }
 
@@ -863,13 +884,13 @@
     jl_text(l, "upstream", ut_get_id(q->ut));
     jl_number(l, "status", q->status);
     jl_number(l, "after_ms", (int64_t)(now_ms - q->sent_ms));
-    jl_number(l, "left_ms", (int64_t)(q->final_ms - q->sent_ms));
+    jl_number(l, "left_ms", (int64_t)(q->answer_by_ms - q->sent_ms));
     jl_text(l, "model", q->query.model);
     jl_text(l, "adapter", q->query.adapter);
     jl_end(l);
 }
 
-/* It ran nothing: the next upstream may have it. */
+/* The upstream ran nothing, so the request may go to another in any case. */
 static void
 handle_not_run(Req *q, uint64_t now_ms)
 {
@@ -878,14 +899,14 @@
     bool other = q->status == 421;
     log_not_run(q, now_ms);
     if (q->query.model && (other || q->status == 503)) {
-        /* It lacks the model, or an order on it is under way. */
+        /* It lacks the model, or an order for that model is in progress. */
         ut_note_absent(q->gw->upstreams, ut, now_ms, q->query.model,
                        q->query.adapter);
-        release(q, UT_OUTCOME_NEUTRAL);
+        finish_call(q, UT_OUTCOME_NEUTRAL);
     }
     else {
         g_ptr_array_add(q->tried, ut);
-        release(q, other ? UT_OUTCOME_NEUTRAL : UT_OUTCOME_SHED);
+        finish_call(q, other ? UT_OUTCOME_NEUTRAL : UT_OUTCOME_SHED);
     }
     try_send(q);
 }
@@ -905,7 +926,7 @@
     jl_number(l, "last_event", q->last_event);
     jl_end(l);
     g_ptr_array_add(q->tried, ut);
-    release(q, end);
+    finish_call(q, end);
     if (!may_run_again(q, now_ms)) {
         give_up(q, 0, why);
         return;
@@ -913,15 +934,15 @@
     try_send(q);
 }
 
-/* An upstream's own failure: of what may run again another is asked, and
-   the failure kept in case that brings nothing better. */
+/* The upstream answered 5xx.  A request that may run again is sent to another;
+   the answer is kept in case that brings nothing better. */
 static void
 handle_error_status(Req *q)
 {
     uint64_t now_ms = bg_boot_ms();
     q->runs++;
     if (q->status == 504 || !may_run_again(q, now_ms)) {
-        pass_on(q);
+        forward_answer(q);
         return;
     }
     q->sends++;
@@ -935,7 +956,7 @@
     q->head = g_string_new(NULL);
     q->body = g_byte_array_new();
     g_ptr_array_add(q->tried, q->ut);
-    release(q, UT_OUTCOME_FAILED);
+    finish_call(q, UT_OUTCOME_FAILED);
     try_send(q);
 }
 
@@ -949,22 +970,23 @@
     if (end == HT_NOT_SENT) {
         g_ptr_array_add(q->tried, q->ut);
         if (!ut_is_unreachable(q->ut)) {
-            q->gw->out.unreached(q->gw->out.ctx, ut_get_id(q->ut));
+            q->gw->out.upstream_unreachable(q->gw->out.ctx, ut_get_id(q->ut));
         }
-        release(q, UT_OUTCOME_UNREACHABLE);
-        q->paid = q->sends > 0; /* the repeat did not reach the service */
+        finish_call(q, UT_OUTCOME_UNREACHABLE);
+        q->retry_counted =
+            q->sends > 0; /* the retry never left this process */
         try_send(q);
         return;
     }
     if (end == HT_DONE && q->not_run) {
         handle_not_run(q, now_ms);
     }
-    else if (end == HT_DONE && q->takes_stream) {
+    else if (end == HT_DONE && q->forwards_events) {
         q->runs++;
         finish_stream(q);
     }
     else if (end == HT_DONE && q->streaming) {
-        /* A resumption that was answered with something else. */
+        /* The resumption was not answered with a stream. */
         handle_failure(q, UT_OUTCOME_FAILED, "resumption refused");
     }
     else if (end == HT_DONE && q->status >= 500) {
@@ -972,10 +994,10 @@
     }
     else if (end == HT_DONE) {
         q->runs++;
-        pass_on(q);
+        forward_answer(q);
     }
     else {
-        q->gw->out.died(q->gw->out.ctx, q->digest, ut_get_id(q->ut));
+        q->gw->out.upstream_died(q->gw->out.ctx, q->digest, ut_get_id(q->ut));
         handle_failure(q, UT_OUTCOME_FAILED,
                        end == HT_GARBLED ? "garbled" : "broken off");
     }
@@ -992,10 +1014,10 @@
     return XXH64(body->data, body->len, d);
 }
 
-/* TEXT: what the caller is told. */
+/* Answers a request that has no Req yet.  TEXT: the body. */
 static void
-refuse_at_door(HtExchange *x, uint16_t status, uint32_t retry_ms,
-               const char *text)
+refuse_unadmitted(HtExchange *x, uint16_t status, uint32_t retry_ms,
+                  const char *text)
 {
     g_autoptr(GString) head = g_string_new(NULL);
     if (*text) {
@@ -1017,12 +1039,12 @@
                          : 1;
         left_ms = left_ms ? MIN(left_ms, d) : d;
     }
-    q->final_ms = q->arrival_ms + (left_ms ? left_ms : NO_LIMIT_MS);
-    q->first_by_ms = q->final_ms;
-    if (q->route->patience_ms) {
-        q->first_by_ms =
-            MIN(q->final_ms,
-                q->arrival_ms + q->route->patience_ms - DEADLINE_MARGIN_MS);
+    q->answer_by_ms = q->arrival_ms + (left_ms ? left_ms : DEFAULT_TIMEOUT_MS);
+    q->first_byte_by_ms = q->answer_by_ms;
+    if (q->route->event_timeout_ms) {
+        q->first_byte_by_ms =
+            MIN(q->answer_by_ms, q->arrival_ms + q->route->event_timeout_ms -
+                                     DEADLINE_MARGIN_MS);
     }
 }
 
@@ -1040,7 +1062,7 @@
     q->query.adapter = q->call.adapter;
     const GArray *parts = q->call.parts;
     if (parts && parts->len > 1) {
-        /* The last part is this request's own. */
+        /* The last part is not shared with other requests. */
         q->query.affinity =
             g_array_index(parts, DepPart, parts->len - 2).digest;
         for (guint i = 0; i + 1 < parts->len; i++) {
@@ -1093,7 +1115,7 @@
 }
 
 static bool
-is_deadly(const Gw *g, uint64_t digest)
+is_poison(const Gw *g, uint64_t digest)
 {
     const Deaths *d = g_hash_table_lookup(g->deaths, &digest);
     return d && g_hash_table_size(d->upstreams) >= g->params.death_limit;
@@ -1115,33 +1137,33 @@
     bg_count("gateway_keys_refused_total", 1);
 }
 
-/* The workspace whose key the caller shows.  NULL: it is answered. */
+/* The workspace of the caller's key.  NULL: the request was answered. */
 static const DepWorkspace *
 admit_key(Gw *g, HtExchange *x)
 {
     const HtHead *head = ht_get_head(x);
     const char *text = g->wire->read_key(head);
     if (!text) {
-        log_key(g, head, NULL, "not one key");
-        refuse_at_door(x, 401, 0, "one key is needed\n");
+        log_key(g, head, NULL, "no key, or more than one");
+        refuse_unadmitted(x, 401, 0, "one key is needed\n");
         return NULL;
     }
     DepKey key = dep_digest_key(text);
     const DepWorkspace *w = dep_find_workspace(g->config, &key);
     if (g->stale) {
-        log_key(g, head, &key, "the configuration may be old");
-        refuse_at_door(x, 503, RETRY_LATER_MS, "keys can't be checked\n");
+        log_key(g, head, &key, "configuration may be out of date");
+        refuse_unadmitted(x, 503, RETRY_LATER_MS, "keys can't be checked\n");
         return NULL;
     }
     if (!w && g->behind) {
-        /* The newer configuration may have brought it. */
-        log_key(g, head, &key, "not known yet");
-        refuse_at_door(x, 503, RETRY_SOON_MS, "keys can't be checked\n");
+        /* The newer configuration may contain the key. */
+        log_key(g, head, &key, "unknown; a newer configuration exists");
+        refuse_unadmitted(x, 503, RETRY_SOON_MS, "keys can't be checked\n");
         return NULL;
     }
     if (!w) {
         log_key(g, head, &key, "unknown");
-        refuse_at_door(x, 401, 0, "unknown key\n");
+        refuse_unadmitted(x, 401, 0, "unknown key\n");
     }
     return w;
 }
@@ -1195,8 +1217,8 @@
     jl_number(l, "waited_ms", (int64_t)(bg_boot_ms() - ht_get_arrival_ms(x)));
     jl_end(l);
     bg_count("gateway_unready_total", 1);
-    refuse_at_door(x, 503, g->closed ? RETRY_STOP_MS : RETRY_SOON_MS,
-                   "not ready\n");
+    refuse_unadmitted(x, 503, g->closed ? RETRY_STOPPING_MS : RETRY_SOON_MS,
+                      "not ready\n");
 }
 
 static void
@@ -1215,11 +1237,11 @@
         jl_text(l, "path", path);
         jl_number(l, "version", (int64_t)g->config->version);
         jl_end(l);
-        refuse_at_door(x, 404, 0, "no such route\n");
+        refuse_unadmitted(x, 404, 0, "no such route\n");
         return;
     }
     const DepWorkspace *workspace = NULL;
-    if (g->config->asks_keys && !route->is_public) {
+    if (g->config->requires_keys && !route->is_public) {
         workspace = admit_key(g, x);
         if (!workspace) {
             return;
@@ -1233,8 +1255,9 @@
         return;
     }
     note_arrival(q);
-    if (is_deadly(g, q->digest)) {
-        answer(q, 503, RETRY_LATER_MS * 10, "upstreams ended under it");
+    if (is_poison(g, q->digest)) {
+        answer(q, 503, RETRY_LATER_MS * 10,
+               "upstreams broke off while running it");
         return;
     }
     try_send(q);
@@ -1246,7 +1269,8 @@
     if (g->config && !g->closed) {
         admit(g, x);
     }
-    else if (g->closed || bg_boot_ms() >= g->start_ms + START_MS) {
+    else if (g->closed ||
+             bg_boot_ms() >= g->start_ms + FIRST_CONFIG_TIMEOUT_MS) {
         refuse_unready(g, x);
     }
     else {
@@ -1254,13 +1278,13 @@
     }
 }
 
-/* Those that waited long enough, and all once the process stops. */
+/* Refuses early requests that waited too long; all when the process stops. */
 static void
 refuse_early(Gw *g, uint64_t now_ms)
 {
     HtExchange *x;
     while ((x = g_queue_peek_head(&g->early)) &&
-           (g->closed || now_ms >= ht_get_arrival_ms(x) + START_WAIT_MS)) {
+           (g->closed || now_ms >= ht_get_arrival_ms(x) + START_MAX_WAIT_MS)) {
         g_queue_pop_head(&g->early);
         refuse_unready(g, x);
     }
@@ -1283,18 +1307,19 @@
         g_queue_remove(&g->early, x);
         return;
     }
-    log_end(q, "caller-gone", 0, q->state == REQ_WAITING ? q->waits_for : "");
+    log_end(q, "caller-gone", 0,
+            q->state == REQ_WAITING ? q->waiting_for : "");
     if (q->state == REQ_WAITING && q->runs == 0) {
-        give_back(q);
+        refund_limit(q);
     }
-    drop_call(q, UT_OUTCOME_NEUTRAL);
+    cancel_call(q, UT_OUTCOME_NEUTRAL);
     free_req(q);
 }
 
 /* ---- time --------------------------------------------------------------- */
 
 static bool
-has_other(const Req *q, uint64_t now_ms)
+has_better_upstream(const Req *q, uint64_t now_ms)
 {
     Ut *other = NULL;
     g_ptr_array_add(q->tried, q->ut);
@@ -1303,13 +1328,15 @@
     if (a != UT_FOUND) {
         return false;
     }
-    /* One that answers others is busy, not dead: leaving it throws away the
-       place in its queue, which pays only where there is far less to do. */
+    /* One that answers others is busy, not dead: moving the request loses its
+       place in the queue there, which pays only if the other has far less
+       load. */
     bool lives = ut_is_alive(q->ut, now_ms);
     double here = ut_get_load(q->ut, now_ms);
     double there = ut_get_load(other, now_ms);
-    return lives ? there + LESS_REQUESTS < here * LESS_LOAD
-                 : there < here + MORE_REQUESTS;
+    return lives ? there + BUSY_SWITCH_FEWER_REQUESTS <
+                       here * BUSY_SWITCH_LOAD_RATIO
+                 : there < here + DEAD_SWITCH_MORE_REQUESTS;
 }
 
 static bool
@@ -1319,29 +1346,31 @@
         return false;
     }
     bool stream = q->route->kind == DEP_STREAM;
-    if (q->first_ms && stream && q->takes_stream) {
-        uint64_t most = q->route->gap_ms
-                            ? (uint64_t)q->route->gap_ms * SILENT_GAPS
-                            : SILENT_GAP_MS;
-        return now_ms - q->heard_ms > most && has_other(q, now_ms);
+    if (q->first_ms && stream && q->forwards_events) {
+        uint64_t silent_ms = q->route->gap_ms
+                                 ? (uint64_t)q->route->gap_ms * SILENT_GAPS
+                                 : SILENT_GAP_MS;
+        return now_ms - q->last_data_ms > silent_ms &&
+               has_better_upstream(q, now_ms);
     }
     uint32_t usual = ut_get_usual_ms(q->gw->upstreams, q->ut, &q->query);
-    uint64_t most = MAX((uint64_t)usual * SILENT_FACTOR,
-                        stream ? SILENT_MIN_STREAM_MS : SILENT_MIN_PLAIN_MS);
+    uint64_t silent_ms =
+        MAX((uint64_t)usual * SILENT_FACTOR,
+            stream ? SILENT_MIN_STREAM_MS : SILENT_MIN_PLAIN_MS);
     if (stream) {
-        most = MAX(most, q->route->objective_ms * SILENT_OBJECTIVE);
+        silent_ms = MAX(silent_ms, q->route->objective_ms * SILENT_OBJECTIVE);
     }
-    return now_ms - q->sent_ms > most && has_other(q, now_ms);
+    return now_ms - q->sent_ms > silent_ms && has_better_upstream(q, now_ms);
 }
 
 static void
-look_at(Req *q, uint64_t now_ms)
+check_request(Req *q, uint64_t now_ms)
 {
-    if (now_ms >= q->final_ms) {
+    if (now_ms >= q->answer_by_ms) {
         if (q->state == REQ_SENT) {
             bool sent = q->hc && ht_was_sent(q->hc);
             q->runs += sent;
-            drop_call(q, sent ? UT_OUTCOME_FAILED : UT_OUTCOME_UNREACHABLE);
+            cancel_call(q, sent ? UT_OUTCOME_FAILED : UT_OUTCOME_UNREACHABLE);
         }
         give_up(q, RETRY_SOON_MS, "deadline");
     }
@@ -1350,7 +1379,7 @@
     }
     else if (is_silent(q, now_ms) &&
              rb_take(q->gw->budget, now_ms, q->service)) {
-        q->paid = true;
+        q->retry_counted = true;
         ht_cancel_call(q->hc);
         q->hc = NULL;
         ht_drop_kept(q->gw->pool, ut_get_address(q->ut));
@@ -1358,7 +1387,7 @@
     }
 }
 
-/* Looking at one request may end it, but no other. */
+/* check_request may free its own request, but no other. */
 void
 gw_on_tick(Gw *g, uint64_t now_ms)
 {
@@ -1366,12 +1395,12 @@
     GList *next;
     for (GList *l = g->reqs.head; l; l = next) {
         next = l->next;
-        look_at(l->data, now_ms);
+        check_request(l->data, now_ms);
     }
 }
 
 void
-gw_stop_taking(Gw *g)
+gw_stop_accepting(Gw *g)
 {
     g->closed = true;
 }
@@ -1401,22 +1430,23 @@
     }
 }
 
-/* ---- what others tell --------------------------------------------------- */
+/* ---- reports from other processes --------------------------------------- */
 
 void
-gw_on_placer(Gw *g, uint64_t now_ms, uint32_t rest_ms)
+gw_on_leader(Gw *g, uint64_t now_ms, uint32_t guard_ms)
 {
-    g->placer_ms = now_ms;
-    g->orders_ms = now_ms + rest_ms;
+    g->leader_ms = now_ms;
+    g->first_order_ms = now_ms + guard_ms;
 }
 
 void
-gw_on_wait(Gw *g, uint64_t now_ms, const char *model, uint32_t wait_ms)
+gw_on_wait_estimate(Gw *g, uint64_t now_ms, const char *model,
+                    uint32_t wait_ms)
 {
-    Wait *w = g_new0(Wait, 1);
-    w->said_ms = now_ms;
+    WaitEstimate *w = g_new0(WaitEstimate, 1);
+    w->reported_ms = now_ms;
     w->wait_ms = wait_ms;
-    g_hash_table_replace(g->waits, g_strdup(model), w);
+    g_hash_table_replace(g->wait_estimates, g_strdup(model), w);
 }
 
 static void
@@ -1431,7 +1461,7 @@
 is_old_death(gpointer key, gpointer value, gpointer now_ms)
 {
     (void)key;
-    return ((Deaths *)value)->last_ms + DEATH_LIFE_MS < *(uint64_t *)now_ms;
+    return ((Deaths *)value)->last_ms + DEATH_KEEP_MS < *(uint64_t *)now_ms;
 }
 
 void
@@ -1453,7 +1483,7 @@
 
 /* ---- demand ------------------------------------------------------------- */
 
-/* A demand that is being collected. */
+/* A demand under construction. */
 typedef struct {
     uint64_t now_ms;
     DmDemand *demand;
@@ -1488,16 +1518,16 @@
     return u;
 }
 
-/* About to come late, by what its upstream does at this moment. */
+/* Whether the answer is about to miss an objective of its route. */
 static bool
 is_slow(const Req *q, uint64_t now_ms)
 {
     const DepRoute *r = q->route;
     if (!q->first_ms) {
         return r->objective_ms &&
-               now_ms - q->sent_ms > r->objective_ms * SLOW_WAIT;
+               now_ms - q->sent_ms > r->objective_ms * SLOW_FIRST_BYTE;
     }
-    uint64_t since_ms = MAX(q->event_ms, q->first_ms);
+    uint64_t since_ms = MAX(q->last_event_ms, q->first_ms);
     uint64_t pause_ms = MAX(now_ms - since_ms, q->last_gap_ms);
     return r->gap_ms && pause_ms > r->gap_ms * SLOW_PAUSE;
 }
@@ -1521,8 +1551,8 @@
     w->waiting += a && q->lacks_model;
 }
 
-/* Counts of COUNTS, by model or "model/adapter", go to the field at OFFSET of
-   its want, and begin anew. */
+/* Moves COUNTS, keyed by model or "model/adapter", to the field at OFFSET of
+   each DmWant. */
 static void
 collect_counts(Collection *c, GHashTable *counts, size_t offset)
 {
@@ -1584,8 +1614,8 @@
 void
 gw_print_metrics(const Gw *g, GString *out)
 {
-    print_latency(out, "gateway_answer", g->whole_us);
-    print_latency(out, "gateway_first_byte", g->first_us);
+    print_latency(out, "gateway_answer", g->answer_us);
+    print_latency(out, "gateway_first_byte", g->first_byte_us);
 }
 
 uint32_t
@@ -1618,9 +1648,9 @@
     g->upstreams = upstreams;
     g->budget = budget;
     g->limits = limits;
-    g->placer_ms = bg_boot_ms();
-    g->whole_us = hist_create();
-    g->first_us = hist_create();
+    g->leader_ms = bg_boot_ms();
+    g->answer_us = hist_create();
+    g->first_byte_us = hist_create();
     g->start_ms = bg_boot_ms();
     g_queue_init(&g->early);
     g_queue_init(&g->reqs);
@@ -1628,7 +1658,8 @@
     g->hurried = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g->refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g->began = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g->waits = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    g->wait_estimates =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     g->deaths = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
                                       free_deaths);
     bg_seed_random(&g->rng, params->seed);
@@ -1641,7 +1672,7 @@
     Req *q;
     while ((q = g_queue_peek_head(&g->reqs))) {
         ht_set_user(q->x, NULL);
-        drop_call(q, UT_OUTCOME_NEUTRAL);
+        cancel_call(q, UT_OUTCOME_NEUTRAL);
         free_req(q);
     }
     g_queue_clear(&g->early);
@@ -1650,10 +1681,10 @@
     g_hash_table_destroy(g->hurried);
     g_hash_table_destroy(g->refused);
     g_hash_table_destroy(g->began);
-    g_hash_table_destroy(g->waits);
+    g_hash_table_destroy(g->wait_estimates);
     g_hash_table_destroy(g->deaths);
-    hist_destroy(g->whole_us);
-    hist_destroy(g->first_us);
+    hist_destroy(g->answer_us);
+    hist_destroy(g->first_byte_us);
     g_free(g);
 }
 
@@ -1668,13 +1699,13 @@
 }
 
 void
-gw_on_knowledge(Gw *g, bool whole)
+gw_set_upstreams_complete(Gw *g, bool complete)
 {
-    g->knows_all = whole;
+    g->upstreams_complete = complete;
 }
 
 void
-gw_on_trust(Gw *g, bool behind, bool stale)
+gw_set_config_freshness(Gw *g, bool behind, bool stale)
 {
     g->behind = behind;
     g->stale = stale;
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -1,6 +1,11 @@
-/* bglade-gateway: answers callers on a platform whose store holds what must
-   last.  One loop thread does all I/O and runs the decision cores: routing
-   (ut, rb, gw), the lease (ls) and placement (mp); a second writes logs. */
+/* bglade-gateway: the gateway process.  It routes callers' requests to
+   upstreams, and, while this VM is the leader, places models on them.  All
+   state that must outlive the process is in the platform's store.
+
+   One loop thread does all I/O and runs the decision cores: routing (ut, rb,
+   gw), workspace limits (wl), the lease (ls) and placement (mp).  A second
+   thread writes logs.  This file has settings, timers, signals, start and
+   stop; the gn_ files connect the cores to the store and to other gateways. */
 #include "../platform/pf_store.h"
 #include "../platform/pf_wire.h"
 #include "gn.h"
@@ -15,94 +20,97 @@
 
 #define TICK_MS 20
 #define SLOW_TICK_MS 100
-#define LATE_MS 150 /* a loop that is later than this is worth a line */
-#define DEMAND_MS 200
-#define PRESSED_MS 100 /* instead, while a workspace is near its limit */
-/* A call that starts to wait is told to the placing VM this soon, with what
-   else comes meanwhile. */
-#define WANTED_MS 2
-#define RELAYED_WANTED_MS 6 /* for many gateways at once */
-/* An unrenewed lease ends after this.  Shorter: a successor comes sooner;
-   longer: placement goes on through a short outage of the store. */
-#define LEASE_MS 1500
+#define LOOP_LATE_MS 150  /* a later tick is logged */
+#define DEMAND_MS 200     /* reporting interval of demand and state */
+#define NEAR_LIMIT_MS 100 /* the same while a workspace is near its limit */
+/* Delay before demand is reported to the leader when a request starts to wait;
+   requests that start to wait meanwhile go into the same report. */
+#define DEMAND_DELAY_MS 2
+#define RELAYED_DEMAND_DELAY_MS 6 /* a relay: for many gateways at once */
+/* An unrenewed lease expires after this.  A shorter term brings a new leader
+   sooner; a longer one lets placement continue through short store outages. */
+#define LEASE_TERM_MS 1500
 #define RENEW_MS 350
-/* An unrenewed right to order ends after this: two renewals may be lost, or
-   one may take as long as a slow store needs. */
+/* Without a renewal, the right to send orders expires after this.  That leaves
+   room for two lost renewals, or for one on a slow store. */
 #define ORDER_MS 1000
-/* An order's way to its upstream, and the clocks' difference in rate. */
-#define REST_MARGIN_MS 200
-/* A VM with this share of a core claims the lease at once, smaller ones up to
-   so much later. */
+/* Added to the guard interval: the time that an order is in transit, and the
+   difference of clock rates. */
+#define GUARD_MARGIN_MS 200
+/* A VM with this share of a core claims the lease at once.  Smaller VMs wait,
+   the smallest for SMALL_CLAIM_MS. */
 #define LARGE_CPU_SHARE 0.5
 #define SMALL_CLAIM_MS 400
-#define QUIET_MS 450   /* two words of the holder missing: ask the store */
+/* After two missed heartbeats of the leader, ask the store. */
+#define LEADER_QUIET_MS 450
 #define CONNECT_MS 250 /* data centres are 1 to 3 ms apart */
 #define DEATH_LIMIT 3
-/* The balancer asks once a second and takes a VM out after two misses; until
-   then new connections come. */
+/* From the signal to stop on, new connections come for this long: the load
+   balancer probes once a second and takes a VM out after two failures. */
 #define LEAVE_MS 2600
-/* What is still open is answered this long before the process is killed,
-   and the answers have a moment to leave. */
+/* Before the end of grace_s: open requests are answered CLOSE_MARGIN_MS before
+   it, and the process exits GRACE_MARGIN_MS before it, when the answers have
+   been sent. */
 #define CLOSE_MARGIN_MS 1000
 #define GRACE_MARGIN_MS 700
-#define SETTINGS_LOOK_S 2.
+#define SETTINGS_POLL_S 2.
 #define LOG_STOP_MS 100
-/* Gateways are counted by the placing VM; until it has told, so many are
-   assumed to share the budget of repeats. */
+/* The leader counts the gateways that share the retry budget.  Until it has
+   reported, this many are assumed. */
 #define ASSUMED_GATEWAYS 16
-/* A placing VM that is cut off from half of what it should order leaves that
-   to another for a while. */
+/* A leader that can't reach more than half of the upstreams for YIELD_AFTER_MS
+   gives up the lease, and doesn't claim it again for YIELD_MS. */
 #define YIELD_AFTER_MS 1500
 #define YIELD_MS 8000
 
 static const IniRule rules[] = {
-    {"gateway", "name", INI_TEXT, true, NULL, 0, 0, NULL, "this VM"},
+    {"gateway", "name", INI_TEXT, true, NULL, 0, 0, NULL, "name of this VM"},
     {"gateway", "data_centre", INI_TEXT, true, NULL, 0, 0, NULL,
-     "where it stands"},
+     "data centre of this VM"},
     {"gateway", "front", INI_ADDRESS, true, NULL, 0, 0, NULL,
-     "where callers connect"},
+     "address for callers"},
     {"gateway", "ready", INI_ADDRESS, true, NULL, 0, 0, NULL,
-     "where the balancer asks for readiness"},
+     "address of the readiness probe of the load balancer"},
     {"gateway", "control", INI_ADDRESS, false, NULL, 0, 0, NULL,
-     "metrics, state dump and what a starting gateway asks of others"},
+     "address for metrics, state dump and other starting gateways"},
     {"gateway", "link", INI_ADDRESS, true, NULL, 0, 0, NULL,
-     "where other gateways link to this one"},
+     "address for links of other gateways"},
     {"gateway", "advertise", INI_ADDRESS, false, NULL, 0, 0, NULL,
-     "where others reach the link address, if not there"},
+     "address at which others reach link, if it differs"},
     {"gateway", "store", INI_ADDRESS, true, NULL, 0, 0, NULL,
-     "the platform's store"},
+     "address of the platform's store"},
     {"gateway", "seeds", INI_TEXT, false, "", 0, 0, NULL,
-     "control addresses of other gateways, by commas"},
+     "control addresses of other gateways, separated by commas"},
     {"gateway", "cpu_share", INI_NUMBER, false, "0.25", 0, 1024, NULL,
-     "of a core that this VM has; the larger places rather"},
+     "share of a core that this VM has; larger VMs claim the lease first"},
     {"gateway", "prefetch", INI_BOOL, false, "true", 0, 0, NULL,
-     "load models that nobody holds into room that is free"},
+     "load models that no upstream holds into free memory"},
     {"bounds", "retry_ratio", INI_NUMBER, false, "0.2", 0, 1000, NULL,
-     "repeats allowed for each request"},
+     "retries allowed per request"},
     {"bounds", "retry_window_s", INI_NUMBER, false, "10", 0, 3600, NULL,
-     "window in which repeats are counted"},
+     "window in which retries are counted"},
     {"bounds", "retry_slack", INI_NUMBER, false, "50", 0, 1000000, NULL,
-     "repeats allowed besides, all gateways together"},
+     "retries allowed in addition, all gateways together"},
     {"bounds", "lease_ms", INI_NUMBER, false, "3000", 0, 600000, NULL,
-     "rest between the orders of two VMs to one upstream"},
+     "guard interval between the orders of two leaders"},
     {"bounds", "grace_s", INI_NUMBER, false, "8", 0, 600, NULL,
-     "from the signal to stop to being killed"},
+     "time from the stop signal to being killed"},
     {"bounds", "fail_closed", INI_BOOL, false, "false", 0, 0, NULL,
-     "let no key in while the configuration may be older than revoke_ms"},
+     "accept no key while the configuration may be older than revoke_ms"},
     {"bounds", "revoke_ms", INI_NUMBER, false, "5000", 0, 3600000, NULL,
-     "a key that was taken away is let in no longer than this"},
+     "a revoked key is accepted for at most this time"},
     {"bounds", "limit_window_s", INI_NUMBER, false, "8", 0, 3600, NULL,
-     "window in which what a workspace was let in is counted"},
+     "window over which the use of a workspace is counted"},
     {"bounds", "limit_excess", INI_NUMBER, false, "0.1", 0, 1000, NULL,
-     "part by which a window may exceed a workspace's rate and burst"},
+     "fraction by which a window may exceed a workspace's limit"},
     {"bounds", "limit_slack", INI_NUMBER, false, "0", 0, 1000000000, NULL,
-     "tokens or requests by which it may exceed them besides"},
+     "tokens or requests by which it may exceed it in addition"},
     {"relays", "direct", INI_INT, false, "24", 0, 10000, NULL,
-     "gateways that link to the placing one before relays are used"},
+     "gateways that link to the leader before relays are used"},
     {"relays", "members", INI_INT, false, "64", 1, 10000, NULL,
      "gateways that link to one relay"},
     {"relays", "moves", INI_INT, false, "10", 1, 10000, NULL,
-     "of these, that it gets in a tenth of a second"},
+     "of these, how many it is assigned per 100 ms"},
     {NULL, NULL, INI_TEXT, false, NULL, 0, 0, NULL, NULL}};
 
 const char *
@@ -127,7 +135,7 @@
 /* ---- requests ----------------------------------------------------------- */
 
 static void
-on_wanted_timer(struct ev_loop *loop, ev_timer *t, int events)
+on_demand_timer(struct ev_loop *loop, ev_timer *t, int events)
 {
     (void)loop;
     (void)events;
@@ -135,24 +143,25 @@
 }
 
 void
-gn_want(Gateway *g)
+gn_schedule_demand(Gateway *g)
 {
     if (!ev_is_active(&g->wanted)) {
-        uint32_t wait_ms =
-            lk_count_peers(g->links) > 0 ? RELAYED_WANTED_MS : WANTED_MS;
+        uint32_t wait_ms = lk_count_peers(g->links) > 0
+                               ? RELAYED_DEMAND_DELAY_MS
+                               : DEMAND_DELAY_MS;
         ev_timer_set(&g->wanted, wait_ms / 1000., 0.);
         ev_timer_start(g->loop, &g->wanted);
     }
 }
 
 static void
-on_wanted(void *ctx)
+on_demand_changed(void *ctx)
 {
-    gn_want(ctx);
+    gn_schedule_demand(ctx);
 }
 
 static void
-on_died(void *ctx, uint64_t request, const char *upstream)
+on_upstream_died(void *ctx, uint64_t request, const char *upstream)
 {
     Gateway *g = ctx;
     gw_on_death(g->gw, bg_boot_ms(), request, upstream);
@@ -161,7 +170,7 @@
 }
 
 static void
-on_unreached(void *ctx, const char *upstream)
+on_upstream_unreachable(void *ctx, const char *upstream)
 {
     gn_suspect(ctx, upstream);
 }
@@ -179,7 +188,7 @@
 }
 
 static void
-on_any_gone(void *ctx, HtExchange *x)
+ignore_disconnect(void *ctx, HtExchange *x)
 {
     (void)ctx;
     (void)x;
@@ -284,14 +293,14 @@
 static void
 follow_lease(Gateway *g, uint64_t now_ms)
 {
-    bool places = ls_is_leader(g->lease, now_ms);
-    if (places != g->placing) {
-        g->placing = places;
-        JlLine *l = jl_begin(places ? "lease-held" : "lease-lost");
+    bool is_leader = ls_is_leader(g->lease, now_ms);
+    if (is_leader != g->placing) {
+        g->placing = is_leader;
+        JlLine *l = jl_begin(is_leader ? "lease-held" : "lease-lost");
         jl_number(l, "token", (int64_t)ls_get_token(g->lease));
         jl_end(l);
         g->sums_due = true;
-        if (places) {
+        if (is_leader) {
             mp_begin(g->placement, now_ms);
         }
         else {
@@ -299,7 +308,7 @@
         }
         g_hash_table_remove_all(g->told);
         gn_on_lease_changed(g);
-        gn_watch_mail(g, places);
+        gn_watch_mail(g, is_leader);
     }
     if (g->placing) {
         gn_update_placement(g, now_ms);
@@ -313,7 +322,7 @@
     uint64_t since_ms = now_ms - g->stop_ms;
     uint64_t grace_ms = (uint64_t)(get_bound(g->settings, "grace_s") * 1000);
     if (since_ms >= LEAVE_MS) {
-        gw_stop_taking(g->gw);
+        gw_stop_accepting(g->gw);
     }
     if (since_ms + CLOSE_MARGIN_MS >= grace_ms) {
         gw_close(g->gw);
@@ -326,7 +335,7 @@
 }
 
 static void
-tell_state(Gateway *g, uint64_t now_ms)
+publish_state(Gateway *g, uint64_t now_ms)
 {
     if (g->placing) {
         gn_send_state(g, now_ms);
@@ -349,8 +358,9 @@
 static void
 tick_slow(Gateway *g, uint64_t now_ms)
 {
-    gw_on_trust(g->gw, g->behind_ms != 0, may_miss_revocations(g, now_ms));
-    gw_on_knowledge(g->gw, gn_knows_upstreams(g));
+    gw_set_config_freshness(g->gw, g->behind_ms != 0,
+                            may_miss_revocations(g, now_ms));
+    gw_set_upstreams_complete(g->gw, gn_knows_upstreams(g));
     ht_tick_server(g->front, now_ms);
     ht_tick_server(g->ready, now_ms);
     if (g->control) {
@@ -360,31 +370,31 @@
     gn_tick_relay(g, now_ms);
     gn_follow_store(g, now_ms);
     gn_tick_start(g, now_ms);
-    bool pressed = wl_is_near_limit(g->limits);
-    if (now_ms >= g->demand_ms + (pressed ? PRESSED_MS : DEMAND_MS)) {
+    bool near_limit = wl_is_near_limit(g->limits);
+    if (now_ms >= g->demand_ms + (near_limit ? NEAR_LIMIT_MS : DEMAND_MS)) {
         gn_send_demand(g);
     }
-    if (now_ms >= g->limits_ms + (pressed ? PRESSED_MS : DEMAND_MS)) {
+    if (now_ms >= g->limits_ms + (near_limit ? NEAR_LIMIT_MS : DEMAND_MS)) {
         g->limits_ms = now_ms;
         gn_follow_fleet(g, now_ms);
         gn_tell_limits(g, now_ms);
     }
-    /* By a clock of its own: demand is also sent whenever callers begin to
-       wait, and a busy placing VM would never get to say that it lives. */
+    /* Separate from demand_ms: demand is also sent whenever a request starts
+       to wait, so a busy leader would never come to send its heartbeat. */
     if (now_ms >= g->state_ms + DEMAND_MS) {
         g->state_ms = now_ms;
         gn_tell_the_rest(g);
-        tell_state(g, now_ms);
+        publish_state(g, now_ms);
     }
 }
 
-/* Whoever reads the logs of a late answer needs to know that the process
-   itself was late: frozen, out of processor time, or busy with something. */
+/* Logs late ticks.  They show that an answer came late because the process was
+   suspended, short of CPU time or busy. */
 static void
 note_lateness(Gateway *g, uint64_t now_ms)
 {
     uint64_t due_ms = g->tick_ms + TICK_MS;
-    bool late = g->tick_ms && now_ms > due_ms + LATE_MS;
+    bool late = g->tick_ms && now_ms > due_ms + LOOP_LATE_MS;
     g->tick_ms = now_ms;
     if (late) {
         JlLine *l = jl_begin("loop-late");
@@ -470,7 +480,7 @@
 {
     (void)loop;
     (void)events;
-    if (w->attr.st_nlink) { /* else it is just being replaced */
+    if (w->attr.st_nlink) { /* else the file is being replaced */
         reload(w->data);
     }
 }
@@ -481,8 +491,8 @@
 listen_all(Gateway *g, GError **err)
 {
     HtHandler front = {g, on_front_request, on_front_gone};
-    HtHandler ready = {g, on_ready_request, on_any_gone};
-    HtHandler control = {g, on_control_request, on_any_gone};
+    HtHandler ready = {g, on_ready_request, ignore_disconnect};
+    HtHandler control = {g, on_control_request, ignore_disconnect};
     LkHandler link = {g,          gn_greet,   gn_on_frame,
                       gn_on_peer, gn_on_link, gn_on_unreached};
     g->links = lk_create(g->loop, gn_get_text(g, "link"), &link, err);
@@ -500,7 +510,8 @@
     return g->ready != NULL;
 }
 
-/* Placing takes a core's share on one VM: with 75 gateways 0.1 core. */
+/* Leadership costs CPU time (0.1 core with 75 gateways), so larger VMs claim
+   the lease first. */
 static uint32_t
 get_claim_delay_ms(const Gateway *g)
 {
@@ -524,7 +535,8 @@
                    get_bound(g->settings, "limit_slack"), seed};
     g->limits = wl_create(&wl);
     GwParams gw = {CONNECT_MS, DEATH_LIMIT, seed};
-    GwOutput gw_out = {g, on_wanted, on_died, on_unreached};
+    GwOutput gw_out = {g, on_demand_changed, on_upstream_died,
+                       on_upstream_unreachable};
     g->gw = gw_create(&gw, &pf_gw_wire, &gw_out, g->pool, g->upstreams,
                       g->budget, g->limits);
     MpParams mp = {ini_get_bool(g->settings, "gateway", "prefetch")};
@@ -535,12 +547,12 @@
     LsParams ls = {gn_get_text(g, "name"),
                    g->process,
                    gn_get_address(g),
-                   LEASE_MS,
+                   LEASE_TERM_MS,
                    RENEW_MS,
                    ORDER_MS,
                    (uint32_t)ceil(get_bound(g->settings, "lease_ms")) +
-                       REST_MARGIN_MS,
-                   QUIET_MS,
+                       GUARD_MARGIN_MS,
+                   LEADER_QUIET_MS,
                    get_claim_delay_ms(g),
                    seed};
     LsOutput ls_out = {g, gn_read_lease, gn_append_lease, gn_on_lease_changed};
@@ -553,7 +565,7 @@
     ev_timer_init(&g->tick, on_tick, TICK_MS / 1000., TICK_MS / 1000.);
     g->tick.data = g;
     ev_timer_start(g->loop, &g->tick);
-    ev_timer_init(&g->wanted, on_wanted_timer, 0., 0.);
+    ev_timer_init(&g->wanted, on_demand_timer, 0., 0.);
     g->wanted.data = g;
     ev_timer_init(&g->place, gn_on_place_timer, 0., 0.);
     g->place.data = g;
@@ -563,7 +575,7 @@
     g->term.data = g;
     g->interrupt.data = g;
     g->hup.data = g;
-    ev_stat_init(&g->file, on_settings_changed, g->path, SETTINGS_LOOK_S);
+    ev_stat_init(&g->file, on_settings_changed, g->path, SETTINGS_POLL_S);
     g->file.data = g;
     ev_stat_start(g->loop, &g->file);
     ev_signal_start(g->loop, &g->term);
@@ -571,7 +583,7 @@
     ev_signal_start(g->loop, &g->hup);
 }
 
-/* Whatever may still call back goes before what it calls. */
+/* What may still run callbacks is destroyed before what they use. */
 static void
 destroy_all(Gateway *g)
 {
@@ -627,7 +639,7 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     g->loop = ev_loop_new(EVBACKEND_EPOLL | EVFLAG_NOENV | EVFLAG_NOINOTIFY);
     if (!g->loop) {
-        fprintf(stderr, "no event loop\n");
+        fprintf(stderr, "can't create the event loop\n");
         return 1;
     }
     g->pool = ht_create_pool(g->loop);
@@ -655,7 +667,7 @@
 }
 
 typedef struct {
-    const char *path; /* NULL: not named */
+    const char *path; /* NULL: not given */
     bool check_only;
     bool print_settings;
 } Arguments;
@@ -698,8 +710,10 @@
          "print every setting with its default", 0},
         {0}};
     static const struct argp argp = {
-        options, parse_option, NULL, "Answer callers of a platform.",
-        NULL,    NULL,         NULL};
+        options, parse_option,
+        NULL,    "Route callers' requests to the upstreams of a platform.",
+        NULL,    NULL,
+        NULL};
     Arguments a = {.path = getenv("BITTERNGLADE_SETTINGS")};
     argp_parse(&argp, argc, argv, 0, NULL, &a);
     if (a.print_settings) {
@@ -707,10 +721,13 @@
         return 0;
     }
     if (!a.path) {
-        fprintf(stderr, "no settings file was named\n");
+        fprintf(
+            stderr,
+            "no settings file given (--settings or $BITTERNGLADE_SETTINGS)\n");
         return 2;
     }
-    /* One arena: threads here allocate little, and memory is dear. */
+    /* One malloc arena: the second thread allocates little, and more arenas
+       cost memory. */
     mallopt(M_ARENA_MAX, 1);
     signal(SIGPIPE, SIG_IGN);
     g_autoptr(GString) faults = g_string_new(NULL);
