--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -135,20 +135,20 @@
 }
 
 void
-gn_want(Gateway *g)
+gn_schedule_demand(Gateway *g)
 {
-    if (!ev_is_active(&g->wanted)) {
+    if (!ev_is_active(&g->demand_timer)) {
         uint32_t wait_ms =
             lk_count_peers(g->links) > 0 ? RELAYED_WANTED_MS : WANTED_MS;
-        ev_timer_set(&g->wanted, wait_ms / 1000., 0.);
-        ev_timer_start(g->loop, &g->wanted);
+        ev_timer_set(&g->demand_timer, wait_ms / 1000., 0.);
+        ev_timer_start(g->loop, &g->demand_timer);
     }
 }
 
 static void
 on_wanted(void *ctx)
 {
-    gn_want(ctx);
+    gn_schedule_demand(ctx);
 }
 
 static void
@@ -156,14 +156,14 @@
 {
     Gateway *g = ctx;
     gw_on_death(g->gw, bg_boot_ms(), request, upstream);
-    gn_send_death(g, request, upstream, g->placing);
-    gn_suspect(g, upstream);
+    gn_send_death(g, request, upstream, g->is_leader);
+    gn_report_suspicion(g, upstream);
 }
 
 static void
 on_unreached(void *ctx, const char *upstream)
 {
-    gn_suspect(ctx, upstream);
+    gn_report_suspicion(ctx, upstream);
 }
 
 static void
@@ -221,7 +221,7 @@
         (unsigned long long)(g->config ? g->config->version : 0),
         (unsigned long long)(now_ms - g->config_ms), ut_count(g->upstreams),
         gw_count(g->gw), ht_count_connections(g->front),
-        g->placing ? "true" : "false",
+        g->is_leader ? "true" : "false",
         ls_get_holder_vm(g->lease) ? ls_get_holder_vm(g->lease) : "",
         lk_is_open(g->links) ? "true" : "false", lk_count_peers(g->links),
         g->uplink.relay ? g->uplink.relay : "");
@@ -285,23 +285,23 @@
 follow_lease(Gateway *g, uint64_t now_ms)
 {
     bool places = ls_is_holder(g->lease, now_ms);
-    if (places != g->placing) {
-        g->placing = places;
+    if (places != g->is_leader) {
+        g->is_leader = places;
         JlLine *l = jl_begin(places ? "lease-held" : "lease-lost");
         jl_number(l, "token", (int64_t)ls_get_token(g->lease));
         jl_end(l);
-        g->sums_due = true;
+        g->full_demand_due = true;
         if (places) {
             mp_begin(g->placement, now_ms);
         }
         else {
             ut_outdate_placement(g->upstreams);
         }
-        g_hash_table_remove_all(g->told);
+        g_hash_table_remove_all(g->published_loads);
         gn_on_lease_changed(g);
         gn_watch_mail(g, places);
     }
-    if (g->placing) {
+    if (g->is_leader) {
         gn_update_placement(g, now_ms);
         mp_on_tick(g->placement, now_ms, gn_may_order(g, now_ms));
     }
@@ -328,11 +328,11 @@
 static void
 tell_state(Gateway *g, uint64_t now_ms)
 {
-    if (g->placing) {
+    if (g->is_leader) {
         gn_send_state(g, now_ms);
         consider_yield(g, now_ms);
     }
-    else if (gn_still_sums(g)) {
+    else if (gn_still_aggregates(g)) {
         gn_update_placement(g, now_ms);
         gn_send_state(g, now_ms);
     }
@@ -358,7 +358,7 @@
     }
     lk_on_tick(g->links, now_ms);
     gn_tick_relay(g, now_ms);
-    gn_follow_store(g, now_ms);
+    gn_schedule_store_reads(g, now_ms);
     gn_tick_start(g, now_ms);
     bool pressed = wl_is_pressed(g->limits);
     if (now_ms >= g->demand_ms + (pressed ? PRESSED_MS : DEMAND_MS)) {
@@ -366,14 +366,14 @@
     }
     if (now_ms >= g->limits_ms + (pressed ? PRESSED_MS : DEMAND_MS)) {
         g->limits_ms = now_ms;
-        gn_follow_fleet(g, now_ms);
-        gn_tell_limits(g, now_ms);
+        gn_update_fleet(g, now_ms);
+        gn_publish_limits(g, now_ms);
     }
     /* By a clock of its own: demand is also sent whenever callers begin to
        wait, and a busy placing VM would never get to say that it lives. */
     if (now_ms >= g->state_ms + DEMAND_MS) {
         g->state_ms = now_ms;
-        gn_tell_the_rest(g);
+        gn_publish_placements(g);
         tell_state(g, now_ms);
     }
 }
@@ -431,7 +431,7 @@
     jl_number(l, "requests", gw_count(g->gw));
     jl_end(l);
     ls_leave(g->lease);
-    if (!g->placing) {
+    if (!g->is_leader) {
         gn_dismiss_members(g);
     }
     ht_close_kept(g->front);
@@ -483,8 +483,8 @@
     HtHandler front = {g, on_front_request, on_front_gone};
     HtHandler ready = {g, on_ready_request, on_any_gone};
     HtHandler control = {g, on_control_request, on_any_gone};
-    LkHandler link = {g,          gn_greet,   gn_on_frame,
-                      gn_on_peer, gn_on_link, gn_on_unreached};
+    LkHandler link = {g,          gn_fill_hello, gn_on_frame,
+                      gn_on_peer, gn_on_link,    gn_on_connect_failed};
     g->links = lk_create(g->loop, gn_get_text(g, "link"), &link, err);
     g->front = g->links
                    ? ht_listen(g->loop, gn_get_text(g, "front"), &front, err)
@@ -528,9 +528,12 @@
     g->gw = gw_create(&gw, &pf_gw_wire, &gw_out, g->pool, g->upstreams,
                       g->budget, g->limits);
     MpParams mp = {ini_get_bool(g->settings, "gateway", "prefetch")};
-    MpOutput mp_out = {
-        g,          gn_send_order, gn_ask_upstream, gn_on_placed,
-        gn_on_away, gn_on_judged};
+    MpOutput mp_out = {g,
+                       gn_send_order,
+                       gn_request_report,
+                       gn_on_placed,
+                       gn_on_unreachable,
+                       gn_on_evaluated};
     g->placement = mp_create(&mp, &mp_out);
     LsParams ls = {gn_get_text(g, "name"),
                    g->process,
@@ -553,10 +556,10 @@
     ev_timer_init(&g->tick, on_tick, TICK_MS / 1000., TICK_MS / 1000.);
     g->tick.data = g;
     ev_timer_start(g->loop, &g->tick);
-    ev_timer_init(&g->wanted, on_wanted_timer, 0., 0.);
-    g->wanted.data = g;
-    ev_timer_init(&g->place, gn_on_place_timer, 0., 0.);
-    g->place.data = g;
+    ev_timer_init(&g->demand_timer, on_wanted_timer, 0., 0.);
+    g->demand_timer.data = g;
+    ev_timer_init(&g->place_timer, gn_on_place_timer, 0., 0.);
+    g->place_timer.data = g;
     ev_signal_init(&g->term, on_term, SIGTERM);
     ev_signal_init(&g->interrupt, on_term, SIGINT);
     ev_signal_init(&g->hup, on_hup, SIGHUP);
@@ -600,12 +603,12 @@
     if (g->config_bytes) {
         g_bytes_unref(g->config_bytes);
     }
-    g_ptr_array_free(g->away, TRUE);
-    g_hash_table_destroy(g->told);
-    g_hash_table_destroy(g->untold);
-    g_free(g->uplink.placer);
+    g_ptr_array_free(g->unreachable, TRUE);
+    g_hash_table_destroy(g->published_loads);
+    g_hash_table_destroy(g->unpublished);
+    g_free(g->uplink.leader);
     g_free(g->uplink.relay);
-    g_free(g->uplink.shunned);
+    g_free(g->uplink.unreachable_relay);
     g_hash_table_destroy(g->members);
     ini_destroy(g->settings);
     ev_loop_destroy(g->loop);
@@ -617,10 +620,10 @@
     g_autoptr(GError) err = NULL;
     bg_make_id(g->process);
     g->demand = dm_create();
-    g->untold = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-                                      (GDestroyNotify)g_hash_table_destroy);
-    g->away = g_ptr_array_new_with_free_func(g_free);
-    g->told =
+    g->unpublished = g_hash_table_new_full(
+        g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_hash_table_destroy);
+    g->unreachable = g_ptr_array_new_with_free_func(g_free);
+    g->published_loads =
         g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
     bg_seed_random(&g->rng, bg_now_us() ^ g_str_hash(g->process));
     g->members =
