--- a/src/gn.h
+++ b/src/gn.h
@@ -1,10 +1,18 @@
-/* gn: the gateway's process around its cores, in parts by what they speak
-   with: gn_store (configuration, upstreams), gn_lease (the lease), gn_place
-   (orders and reports), gn_links (other gateways), gn_demand (what callers
-   want, towards the placing VM), gn_placed (what upstreams hold, as it is
-   told), gn_relay (who links to whom, and what a new link is told),
-   main_gateway (callers, time, signals).  All of it runs on the loop's thread.
- */
+/* gn: the gateway process.  It connects the decision cores (gw, ut, mp, ls,
+   rb, wl) to the store, the upstreams and the other gateways:
+     gn_store      configuration and upstream entries read from the store
+     gn_lease      reads and appends of the lease record
+     gn_place      orders to upstreams and their reports
+     gn_links      frames sent to and received from other gateways
+     gn_demand     demand of callers, aggregated towards the leader
+     gn_placed     changes of what each upstream holds
+     gn_relay      which gateway this one links to; state of linked gateways
+     gn_start      starting while the store is unreachable
+     main_gateway  settings, listeners, timers, signals
+   The leader is the gateway that holds the lease for placement.  Links form a
+   tree with the leader at its root and at most one level of relays.  "Up" is
+   towards the leader; the members of a gateway are linked to it.  Everything
+   runs on the loop's thread; times are of bg_boot_ms. */
 #ifndef GN_H
 #define GN_H
 
@@ -22,34 +30,34 @@
 #include "ut.h"
 #include "wl.h"
 
-/* The append to the owner topic that is out. */
+/* The append of the lease record that is in flight. */
 typedef struct {
     uint64_t id;
-    bool out;
-    bool relayed;   /* linked gateways were asked for it as well */
-    bool own_ended; /* the store did not do it, or did not answer */
-    StEnd own_end;
-    uint64_t at;
+    bool out;        /* in flight */
+    bool relayed;    /* linked gateways were asked to append it as well */
+    bool own_failed; /* the store refused our append or did not answer it */
+    StEnd own_result;
+    uint64_t at; /* appended only if the topic's tail is still here */
     char *value;
     uint64_t sent_ms;
 } Renewal;
 
-/* Our own link: to the placing VM, or to a relay. */
+/* Our own link: to the leader, or to a relay. */
 typedef struct {
-    char *placer;     /* address of the placing VM's links; NULL: not known */
-    char *relay;      /* we were sent to; NULL: none */
-    char *shunned;    /* relay that could not be reached; NULL: none */
-    uint64_t lost_ms; /* it ended last, or the process started */
-    uint32_t patience_ms; /* after that the store is asked instead */
-    uint64_t alone_ms;    /* without a word of the placing VM for so long we
-                            look for it ourselves */
-    uint64_t next_try_ms; /* of that look */
-    Lag lag;              /* of what the placing VM tells */
+    char *leader;            /* link address of the leader; NULL: not known */
+    char *relay;             /* relay that we were assigned; NULL: none */
+    char *unreachable_relay; /* relay that we left last; NULL: none */
+    uint64_t lost_ms;        /* the link was lost, or the process started */
+    uint32_t store_delay_ms; /* after lost_ms, until the store is read */
+    uint64_t leader_timeout_ms; /* without contact to the leader through the
+                                   relay: link to the leader itself */
+    uint64_t next_search_ms;    /* earliest time of that */
+    Lag lag;                    /* of the leader's heartbeats */
 } Uplink;
 
 typedef struct Gateway {
     struct ev_loop *loop;
-    const char *path;
+    const char *path; /* of the settings */
     IniFile *settings;
     char process[BG_ID_LEN + 1];
     HtPool *pool;
@@ -59,18 +67,21 @@
     St *store;
     StWatch *config_watch;
     StWatch *upstream_watch;
-    StWatch *mail_watch;   /* NULL: this VM does not place */
-    Dm *demand;            /* of callers here and at gateways linked to us */
-    GHashTable *members;   /* gateways -> when last heard of, uint64_t */
-    uint64_t mail_ms;      /* when mail was last left */
-    uint64_t behind_ms;    /* told of a newer configuration since; 0: not */
-    uint64_t confirmed_ms; /* ours was the newest, as the placing VM told */
-    GHashTable *untold;    /* upstream -> set of models that changed there, for
-                              the next beat; an empty set: whole */
-    GPtrArray *away;       /* char *: found unreachable, not told yet */
-    GHashTable *told;      /* ut_make_key -> UtTotal, as last told down */
-    uint64_t cut_off_ms;   /* since when half is cut off; 0: it isn't */
-    uint64_t tick_ms;      /* the last */
+    StWatch *mail_watch;   /* NULL: this VM is not the leader */
+    Dm *demand;            /* of callers here and at linked gateways */
+    GHashTable *members;   /* gateway -> last contact in ms, uint64_t */
+    uint64_t mail_ms;      /* last mailbox message sent */
+    uint64_t behind_ms;    /* a newer configuration is known since; 0: none */
+    uint64_t confirmed_ms; /* the leader last confirmed that ours is the
+                              newest configuration */
+    GHashTable *unpublished; /* upstream -> set of models that changed since
+                                the last heartbeat; an empty set: all */
+    GPtrArray *unreachable;  /* char *: upstreams found unreachable, not yet
+                                published */
+    GHashTable *published_loads; /* ut_make_key -> UtTotal, as last sent */
+    uint64_t cut_off_ms; /* the leader can't reach half of its upstreams since;
+                            0: it can */
+    uint64_t tick_ms;    /* the last tick */
     UtSet *upstreams;
     Rb *budget;
     Wl *limits; /* of workspaces */
@@ -84,59 +95,65 @@
     DepConfig *config;    /* NULL: none yet */
     GBytes *config_bytes; /* as written in the store */
     uint64_t next_seed_ms;
-    guint next_seed;
+    guint next_seed; /* index into the seeds, modulo their number */
     uint64_t config_ms;
     uint64_t start_ms;
-    uint64_t
-        placer_ms;  /* when what the placing VM last told was sent; 0: never */
-    uint32_t fleet; /* gateways, as it told */
-    uint64_t members_ms; /* when our members were last told */
-    uint64_t asked_ms;   /* for a newer configuration */
-    bool placing;        /* this VM held the lease at the last tick */
-    bool was_placing;    /* it did, and no other VM is known to place since */
-    bool placer_reads;   /* the placing VM reads the store */
-    bool informed;       /* it, or a gateway linked to it, does */
-    bool relay_blind;    /* our relay neither hears it nor reads the store */
-    bool blind;          /* nor do we, as our members were told */
-    bool sums_due;       /* all of demand, to whoever places */
-    bool store_doubted;  /* it did not answer the last append of the lease */
-    bool has_upstreams;  /* taken from another gateway */
+    uint64_t leader_ms;      /* the leader's newest heartbeat was sent;
+                                0: none received */
+    uint32_t fleet;          /* number of gateways, as the leader reported */
+    uint64_t members_ms;     /* our members were last reported up */
+    uint64_t asked_ms;       /* a newer configuration was last requested */
+    bool is_leader;          /* at the last tick */
+    bool was_leader;         /* and no other leader is known since */
+    bool leader_reads_store; /* the leader has current upstream entries */
+    bool informed;           /* it, or a gateway linked to it, has them */
+    bool relay_disconnected; /* our relay neither hears the leader nor reads
+                                the store */
+    bool disconnected;       /* nor do we, as reported to our members */
+    bool full_demand_due;    /* the next demand goes out whole, not as a
+                                delta */
+    bool store_unresponsive; /* the last append of the lease got no answer */
+    bool has_upstreams;      /* received from another gateway */
     ev_timer tick;
-    ev_timer wanted;
-    ev_timer place;
+    ev_timer demand_timer;
+    ev_timer place_timer;
     ev_signal term;
     ev_signal interrupt;
     ev_signal hup;
     ev_stat file; /* the settings */
     uint64_t slow_tick_ms;
-    uint64_t demand_ms;
-    uint64_t state_ms;
-    uint64_t limits_ms; /* when levels of limits were last told */
+    uint64_t demand_ms; /* demand was last sent */
+    uint64_t state_ms;  /* the leader's state was last sent */
+    uint64_t limits_ms; /* levels of limits were last published */
     uint64_t stop_ms;   /* 0: not stopping */
 } Gateway;
 
 /* main_gateway */
-/* Callers begin to wait: the placing VM is told soon, with what else comes
-   meanwhile. */
-void gn_want(Gateway *g);
+/* Send demand to the leader within a few ms; calls until then share one
+   frame. */
+void gn_schedule_demand(Gateway *g);
 const char *gn_get_text(const Gateway *g, const char *key);
 /* Where other gateways link to this one. */
 const char *gn_get_address(const Gateway *g);
 
 /* gn_store */
+/* Put C (taken over) in force; WRITTEN is its record in the store. */
 void gn_use_config(Gateway *g, DepConfig *c, GBytes *written);
 void gn_watch_store(Gateway *g);
 void gn_drop_upstream(Gateway *g, uint64_t now_ms, const char *id);
-/* U is taken over.  True: others should know, too: it is new, another, or it
-   leaves. */
+/* U is taken over.  True if it is new, replaced or draining, which must be
+   published. */
 bool gn_take_upstream(Gateway *g, uint64_t now_ms, DepUpstream *u);
 bool gn_knows_upstreams(const Gateway *g);
-/* This process reads the upstreams' entries of now. */
+/* This process has current upstream entries from the store itself. */
 bool gn_reads_store(const Gateway *g, uint64_t now_ms);
-/* The link was lost: whoever has the news will be heard soon. */
-void gn_await_news(Gateway *g, uint64_t now_ms);
-void gn_follow_store(Gateway *g, uint64_t now_ms);
-void gn_follow_version(Gateway *g, uint64_t now_ms, uint64_t version);
+/* After the link was lost: wait a random time for updates over a new link
+   before the store is read. */
+void gn_delay_store_reads(Gateway *g, uint64_t now_ms);
+/* Choose which topics are read from the store, and how often. */
+void gn_schedule_store_reads(Gateway *g, uint64_t now_ms);
+/* The leader reported that VERSION is its configuration. */
+void gn_on_config_version(Gateway *g, uint64_t now_ms, uint64_t version);
 /* Since the configuration in force was last known to be the newest. */
 uint64_t gn_get_config_age_ms(const Gateway *g, uint64_t now_ms);
 
@@ -145,7 +162,7 @@
 void gn_read_lease(void *ctx, uint64_t from);
 void gn_on_lease_changed(void *ctx);
 void gn_tick_lease(Gateway *g, uint64_t now_ms);
-/* A linked gateway appended for us, or found that another was first. */
+/* A linked gateway appended for us, or found another record. */
 void gn_take_lease_answer(Gateway *g, const Gwp__LeaseAnswer *a);
 /* Append for the VM that we are linked to. */
 void gn_relay_lease(Gateway *g, const Gwp__LeaseAppend *a);
@@ -153,103 +170,110 @@
 /* gn_place */
 void gn_on_place_timer(struct ev_loop *loop, ev_timer *t, int events);
 void gn_on_placed(void *ctx, const char *upstream, const GPtrArray *models);
-void gn_on_away(void *ctx, const char *upstream);
-void gn_on_judged(void *ctx, const char *model, double good, double slow,
-                  double load, uint32_t replicas);
+void gn_on_unreachable(void *ctx, const char *upstream);
+void gn_on_evaluated(void *ctx, const char *model, double good, double slow,
+                     double load, uint32_t replicas);
 void gn_send_order(void *ctx, const MpOrder *order);
-void gn_ask_upstream(void *ctx, const DepUpstream *of);
-void gn_place_soon(Gateway *g);
-/* This VM holds the lease, and knows all upstreams. */
+void gn_request_report(void *ctx, const DepUpstream *of);
+/* Run placement within a few ms; calls until then share one run. */
+void gn_schedule_placement(Gateway *g);
+/* This VM holds the lease and knows all upstreams. */
 bool gn_may_order(const Gateway *g, uint64_t now_ms);
-/* A call to UPSTREAM broke off or found nobody: the placing VM asks it. */
-void gn_suspect(Gateway *g, const char *upstream);
+/* A call to UPSTREAM broke off or could not connect: the leader probes it. */
+void gn_report_suspicion(Gateway *g, const char *upstream);
 
 /* gn_demand */
 /* True: more callers wait than before. */
 bool gn_take_demand(Gateway *g, const char *from, const Gwp__Demand *d);
-/* What callers here and at linked gateways want, to whoever places. */
+/* Send the demand of callers here and at linked gateways to the leader. */
 void gn_send_demand(Gateway *g);
+/* Hand the changes of demand to placement. */
 void gn_update_placement(Gateway *g, uint64_t now_ms);
 void gn_watch_mail(Gateway *g, bool places);
-void gn_pace_mail(Gateway *g, uint32_t linked, uint32_t known);
+/* Read the mailbox more often while LINKED gateways are fewer than KNOWN. */
+void gn_set_mail_interval(Gateway *g, uint32_t linked, uint32_t known);
+/* VM was heard from. */
 void gn_note_member(Gateway *g, const char *vm);
-/* Gateways of the last while, this one included. */
+/* Gateways heard from recently, this one included. */
 uint32_t gn_count_members(Gateway *g, uint64_t now_ms);
 
 /* gn_relay */
-void gn_greet(void *ctx, Gwp__Hello *hello);
+void gn_fill_hello(void *ctx, Gwp__Hello *hello);
 void gn_take_hello(Gateway *g, LkPeer *from, const Gwp__Hello *hello);
 void gn_take_members(Gateway *g, LkPeer *from, const Gwp__Members *m);
 void gn_take_assign(Gateway *g, const Gwp__Assign *a);
 void gn_take_holder(Gateway *g, const Gwp__Holder *h);
 void gn_on_peer(void *ctx, LkPeer *peer, bool here);
 void gn_on_link(void *ctx, bool open);
-void gn_on_unreached(void *ctx);
-/* The placing VM's links are at ADDRESS; NULL: not known. */
-void gn_set_placer(Gateway *g, const char *address);
+void gn_on_connect_failed(void *ctx);
+/* ADDRESS: of the leader's links; NULL: not known. */
+void gn_set_leader(Gateway *g, const char *address);
 void gn_tick_relay(Gateway *g, uint64_t now_ms);
 /* A gateway linked to us reads the store. */
 bool gn_has_reader(Gateway *g);
-/* The placing VM was heard lately, here or through relays. */
-bool gn_hears_placer(const Gateway *g, uint64_t now_ms);
+/* A recent heartbeat of the leader arrived, directly or through a relay. */
+bool gn_hears_leader(const Gateway *g, uint64_t now_ms);
 /* Set of names of the data centres of this VM and of those linked to it. */
 GHashTable *gn_list_linked_data_centres(Gateway *g);
 /* Gateways that are linked to us, or to a relay that is. */
 uint32_t gn_count_linked(Gateway *g);
-/* Our members are to look for another relay: this process stops. */
+/* Tell our members to look for another relay: this process stops. */
 void gn_dismiss_members(Gateway *g);
-
-/* What the placing VM tells comes so late that it does not count: a link on
-   the way carries less than is sent. */
-bool gn_is_told_late(const Gateway *g, uint64_t now_ms);
-
-/* The lease was lost, and nobody else is known to place: this VM orders
-   nothing more, but still sums what gateways linked to it use, and tells them.
- */
-bool gn_still_sums(const Gateway *g);
+/* The leader's frames arrive too late to be used: a link on the way carries
+   less than is sent. */
+bool gn_is_lagging(const Gateway *g, uint64_t now_ms);
+/* This VM lost the lease and no other leader is known.  It sends no orders
+   but still aggregates what its members use and publishes the result. */
+bool gn_still_aggregates(const Gateway *g);
 
 /* gn_links */
 /* Pointers to each of ITEMS, as a repeated field of a frame has them; to be
    freed. */
-gpointer *gn_point_at(const GArray *items);
+gpointer *gn_list_pointers(const GArray *items);
+/* Publish loads and the heartbeat to all linked gateways. */
 void gn_send_state(Gateway *g, uint64_t now_ms);
-/* How many gateways there are, and for how many this one sums: of use where
-   workspaces have limits. */
-void gn_follow_fleet(Gateway *g, uint64_t now_ms);
-/* What is left of workspaces' limits, where nobody tells us. */
-void gn_tell_limits(Gateway *g, uint64_t now_ms);
-/* One that has come hears at once that this VM places. */
-void gn_greet_member(Gateway *g, LkPeer *to);
+/* Pass to the limits of workspaces how many gateways there are, and for how
+   many this one aggregates. */
+void gn_update_fleet(Gateway *g, uint64_t now_ms);
+/* Publish the levels of workspaces' limits, unless we get them from an
+   aggregator. */
+void gn_publish_limits(Gateway *g, uint64_t now_ms);
+/* The leader's heartbeat, to a gateway that has just linked. */
+void gn_send_initial_state(Gateway *g, LkPeer *to);
 void gn_send_death(Gateway *g, uint64_t request, const char *upstream,
                    bool down);
 void gn_on_frame(void *ctx, LkPeer *from, const Gwp__Frame *frame);
-void gn_tell_away(Gateway *g);
-/* To the placing VM as well, where that does not read the store. */
-void gn_pass_upstreams(Gateway *g, const GPtrArray *changed,
-                       const GPtrArray *gone);
-void gn_ask_config(Gateway *g, LkPeer *of);
-void gn_pass_all_upstreams(Gateway *g);
-void gn_pass_config(Gateway *g, LkPeer *to);
-/* All there is, to one that has come. */
-void gn_send_all(Gateway *g, LkPeer *to, uint64_t config_version);
+void gn_publish_unreachable(Gateway *g);
+/* Down, and also up if the leader does not read the store. */
+void gn_publish_upstreams(Gateway *g, const GPtrArray *changed,
+                          const GPtrArray *gone);
+void gn_request_config(Gateway *g, LkPeer *of);
+void gn_publish_all_upstreams(Gateway *g);
+/* TO: a linked gateway; NULL: all of them. */
+void gn_send_config(Gateway *g, LkPeer *to);
+/* Send TO, which has CONFIG_VERSION, the configuration if ours is newer, and
+   all upstreams and loads. */
+void gn_send_snapshot(Gateway *g, LkPeer *to, uint64_t config_version);
 
 /* gn_placed */
 /* DepResident list -> Gwp__Resident list that borrows its names. */
 void gn_fill_residents(const GPtrArray *models, GPtrArray *out);
 GPtrArray *gn_read_residents(size_t n, Gwp__Resident *const *residents);
-/* UPSTREAM holds MODELS (taken over) from now on.  All gateways linked to us
-   are told what differs: at once where callers wait, the others with the next
-   beat. */
-void gn_place(Gateway *g, const char *upstream, GPtrArray *models);
+/* UPSTREAM holds MODELS (taken over) from now on.  The changes go to linked
+   gateways with waiting callers at once, to all of them with the next
+   heartbeat. */
+void gn_set_placement(Gateway *g, const char *upstream, GPtrArray *models);
 void gn_take_placement(Gateway *g, const Gwp__Placement *p);
-void gn_tell_the_rest(Gateway *g);
-/* One that is linked to us lost count. */
-void gn_repeat_placement(Gateway *g, LkPeer *to, const char *upstream);
+/* Send the changes that were not yet published to all linked gateways. */
+void gn_publish_placements(Gateway *g);
+/* TO found that its copy of UPSTREAM's models differs from ours. */
+void gn_resend_placement(Gateway *g, LkPeer *to, const char *upstream);
 
 /* gn_start */
-/* Ask another gateway when the store does not answer a starting process. */
+/* Ask another gateway for a link if the store does not answer a starting
+   process. */
 void gn_tick_start(Gateway *g, uint64_t now_ms);
-/* Answer such a question. */
+/* Answer such a request. */
 void gn_answer_introduction(Gateway *g, HtExchange *x);
 
 #endif
--- a/src/gn_demand.c
+++ b/src/gn_demand.c
@@ -1,14 +1,15 @@
 #include "gn.h"
 
-#define MAIL_MS 300 /* between frames left in the store for the placing VM */
-/* The placing VM reads that mail, more often while gateways are missing. */
-#define MAIL_PAUSE_MS 1000
-#define MAIL_BUSY_PAUSE_MS 250
-#define MEMBER_MS 30000 /* a gateway not heard of for so long is gone */
-/* A gateway that said nothing for so long has no callers waiting. */
-#define DEMAND_LIFE_MS 2000
+#define MAIL_INTERVAL_MS 300 /* between messages left in the store */
+/* The leader reads its mailbox in the store, more often while fewer gateways
+   are linked than are known. */
+#define MAIL_READ_INTERVAL_MS 1000
+#define MAIL_SHORT_READ_INTERVAL_MS 250
+#define MEMBER_TIMEOUT_MS 30000 /* without contact: the gateway is gone */
+/* The demand of a gateway is dropped after this long without an update. */
+#define DEMAND_TIMEOUT_MS 2000
 
-/* ---- who is there ------------------------------------------------------- */
+/* ---- known gateways ----------------------------------------------------- */
 
 void
 gn_note_member(Gateway *g, const char *vm)
@@ -19,20 +20,20 @@
 }
 
 static gboolean
-is_past_member(gpointer vm, gpointer seen_ms, gpointer now_ms)
+is_expired_member(gpointer vm, gpointer seen_ms, gpointer now_ms)
 {
     (void)vm;
-    return *(uint64_t *)seen_ms + MEMBER_MS < *(uint64_t *)now_ms;
+    return *(uint64_t *)seen_ms + MEMBER_TIMEOUT_MS < *(uint64_t *)now_ms;
 }
 
 uint32_t
 gn_count_members(Gateway *g, uint64_t now_ms)
 {
-    g_hash_table_foreach_remove(g->members, is_past_member, &now_ms);
+    g_hash_table_foreach_remove(g->members, is_expired_member, &now_ms);
     return g_hash_table_size(g->members) + 1;
 }
 
-/* ---- demand that is told ------------------------------------------------ */
+/* ---- demand received ---------------------------------------------------- */
 
 static const char *
 to_adapter(const char *wire)
@@ -73,7 +74,8 @@
     for (size_t i = 0; i < d->n_spent; i++) {
         const Gwp__Spent *x = d->spent[i];
         if (!wl_is_amount(x->spent, x->asked)) {
-            bg_log(BG_WARN, "limits", "no amount of %s", x->workspace);
+            bg_log(BG_WARN, "limits", "invalid amount of workspace %s",
+                   x->workspace);
             continue;
         }
         WlSpent spent = {x->workspace, x->spent, x->asked};
@@ -88,24 +90,26 @@
     DmDemand *demand = read_demand(d);
     bool more = dm_take(g->demand, bg_boot_ms(), from, demand);
     dm_destroy_demand(demand);
-    if (more && g->placing) {
-        gn_place_soon(g);
+    if (more && g->is_leader) {
+        gn_schedule_placement(g);
     }
     return more;
 }
 
-/* What callers want and use, as far as it changed, to the placement. */
 void
 gn_update_placement(Gateway *g, uint64_t now_ms)
 {
-    dm_drop_silent(g->demand, now_ms, DEMAND_LIFE_MS);
-    DmDemand *sums = dm_collect(g->demand, g->sums_due);
-    g->sums_due = false;
-    mp_on_demand(g->placement, now_ms, sums);
-    dm_destroy_demand(sums);
+    dm_drop_silent(g->demand, now_ms, DEMAND_TIMEOUT_MS);
+    DmDemand *total = dm_collect(g->demand, g->full_demand_due);
+    g->full_demand_due = false;
+    mp_on_demand(g->placement, now_ms, total);
+    dm_destroy_demand(total);
 }
 
-/* ---- mail, where links are cut ------------------------------------------ */
+/* ---- mailbox ------------------------------------------------------------
+
+   A gateway that has no link leaves its demand in a topic of the store, which
+   the leader reads. */
 
 static void
 on_mail_records(void *ctx, const GPtrArray *records, StPart part,
@@ -137,12 +141,12 @@
     (void)reached;
 }
 
-/* More often while gateways are missing, which may have no link. */
 void
-gn_pace_mail(Gateway *g, uint32_t linked, uint32_t known)
+gn_set_mail_interval(Gateway *g, uint32_t linked, uint32_t known)
 {
-    st_set_pause(g->mail_watch,
-                 linked + 1 < known ? MAIL_BUSY_PAUSE_MS : MAIL_PAUSE_MS);
+    st_set_pause(g->mail_watch, linked + 1 < known
+                                    ? MAIL_SHORT_READ_INTERVAL_MS
+                                    : MAIL_READ_INTERVAL_MS);
 }
 
 void
@@ -153,7 +157,7 @@
         g->mail_watch = NULL;
     }
     else if (places && !g->mail_watch) {
-        StWatchParams mail = {ST_MAIL, "mail", 0, MAIL_BUSY_PAUSE_MS};
+        StWatchParams mail = {ST_MAIL, "mail", 0, MAIL_SHORT_READ_INTERVAL_MS};
         StWatchHandler on_mail = {g, on_mail_records, on_mail_reach};
         g->mail_watch = st_create_watch(g->loop, g->store, &mail, &on_mail);
         st_set_idle(g->mail_watch, false);
@@ -164,7 +168,7 @@
 on_mail_left(void *ctx, const StReply *reply)
 {
     (void)ctx;
-    (void)reply; /* a frame that was lost is followed by the next */
+    (void)reply; /* a lost message is followed by the next */
 }
 
 static void
@@ -178,9 +182,9 @@
                           gn_get_text(g, "name"), bytes, len, on_mail_left, g);
 }
 
-/* ---- demand of ours ----------------------------------------------------- */
+/* ---- demand sent -------------------------------------------------------- */
 
-/* Lists of a frame, freed together; what they point to stays the demand's. */
+/* Lists of a frame, freed together.  Their texts belong to the demand. */
 typedef struct {
     Gwp__Want *wants;
     Gwp__Want **want_refs;
@@ -262,7 +266,7 @@
 {
     l->spent = g_array_new(FALSE, FALSE, sizeof(Gwp__Spent));
     wl_collect_spent(limits, add_spent, l->spent);
-    l->spent_refs = (Gwp__Spent **)gn_point_at(l->spent);
+    l->spent_refs = (Gwp__Spent **)gn_list_pointers(l->spent);
 }
 
 static void
@@ -278,7 +282,7 @@
     g_free(l->spent_refs);
 }
 
-/* Over the link, or as mail where that is cut. */
+/* Over the link, or to the mailbox when it is not open. */
 static void
 send_demand_up(Gateway *g, const DmDemand *demand)
 {
@@ -319,12 +323,12 @@
     return more;
 }
 
-/* Neither linked to the placing VM nor to a relay that is; others' callers
-   may wait here as well. */
+/* Without a link, a message is due while calls wait here or at a member. */
 static bool
 is_mail_due(const Gateway *g, uint64_t now_ms)
 {
-    return dm_count_waiting(g->demand) > 0 && now_ms >= g->mail_ms + MAIL_MS;
+    return dm_count_waiting(g->demand) > 0 &&
+           now_ms >= g->mail_ms + MAIL_INTERVAL_MS;
 }
 
 void
@@ -332,11 +336,11 @@
 {
     uint64_t now_ms = bg_boot_ms();
     g->demand_ms = now_ms;
-    dm_drop_silent(g->demand, now_ms, DEMAND_LIFE_MS);
+    dm_drop_silent(g->demand, now_ms, DEMAND_TIMEOUT_MS);
     bool more = take_own_demand(g, now_ms);
-    if (g->placing) {
+    if (g->is_leader) {
         if (more) {
-            gn_place_soon(g);
+            gn_schedule_placement(g);
         }
         return;
     }
@@ -344,8 +348,8 @@
     if (!linked && !is_mail_due(g, now_ms)) {
         return;
     }
-    DmDemand *sums = dm_collect(g->demand, g->sums_due || !linked);
-    g->sums_due = !linked;
-    send_demand_up(g, sums);
-    dm_destroy_demand(sums);
+    DmDemand *total = dm_collect(g->demand, g->full_demand_due || !linked);
+    g->full_demand_due = !linked;
+    send_demand_up(g, total);
+    dm_destroy_demand(total);
 }
--- a/src/gn_lease.c
+++ b/src/gn_lease.c
@@ -2,17 +2,16 @@
 
 #include <string.h>
 
-/* A renewal that the store did not answer in this time is asked of linked
-   gateways as well.  The placing VM is the one whose way to the store is cut
-   most often without its links: each time nobody would order for four seconds.
-   They append under the same condition, so that one of all these appends is
-   done at most, and the right counts from the moment at which the first was
-   begun. */
+/* A renewal that the store did not answer in this time is also requested from
+   linked gateways.  The leader is the gateway that most often loses its path
+   to the store while its links still work; without this, no orders would go
+   out for four seconds each time.  All these appends have the same condition,
+   so at most one of them succeeds.  The lease counts from the moment at which
+   the first was begun. */
 #define RELAY_AFTER_MS 150
-#define RELAY_WAIT_MS                                                         \
-    500          /* for their answers; then the store's own counts            \
-                  */
-#define RELAYS 2 /* one of them may be cut off as well */
+/* For their answers; then the result of our own append counts. */
+#define RELAY_WAIT_MS 500
+#define RELAYS 2 /* one of them may be cut off from the store as well */
 
 /* ---- reading ------------------------------------------------------------ */
 
@@ -76,7 +75,7 @@
     g->store->ops->read(g->store, ST_OWNER, from, 0, on_lease_tail, g);
 }
 
-/* ---- appending, by ourselves or through others -------------------------- */
+/* ---- appending, directly or through linked gateways --------------------- */
 
 static void
 finish_append(Gateway *g, StEnd end, uint64_t offset, uint64_t tail)
@@ -90,7 +89,7 @@
 relay_append(Gateway *g)
 {
     Renewal *r = &g->renewal;
-    if (r->relayed || !g->placing) {
+    if (r->relayed || !g->is_leader) {
         return;
     }
     r->relayed = true;
@@ -101,9 +100,9 @@
     Gwp__Frame f = GWP__FRAME__INIT;
     f.body_case = GWP__FRAME__BODY_LEASE_APPEND;
     f.lease_append = &a;
-    uint32_t told = lk_send_some(g->links, RELAYS, &f);
+    uint32_t count = lk_send_some(g->links, RELAYS, &f);
     JlLine *l = jl_begin("lease-relayed");
-    jl_number(l, "to", told);
+    jl_number(l, "to", count);
     jl_end(l);
 }
 
@@ -121,16 +120,16 @@
     bool current = r->out && r->id == c->id;
     bool settled = reply->end == ST_OK || reply->end == ST_CONFLICT;
     g_free(c);
-    g->store_doubted = !settled;
+    g->store_unresponsive = !settled;
     if (!current) {
         return;
     }
-    if (settled || !g->placing || lk_count_peers(g->links) == 0) {
+    if (settled || !g->is_leader || lk_count_peers(g->links) == 0) {
         finish_append(g, reply->end, reply->offset, reply->tail);
         return;
     }
-    r->own_ended = true;
-    r->own_end = reply->end;
+    r->own_failed = true;
+    r->own_result = reply->end;
     relay_append(g);
 }
 
@@ -151,7 +150,7 @@
     c->id = id;
     g->store->ops->append(g->store, ST_OWNER, at, "owner", value,
                           strlen(value), on_own_append, c);
-    if (g->store_doubted) {
+    if (g->store_unresponsive) {
         relay_append(g);
     }
 }
@@ -166,8 +165,8 @@
     if (now_ms >= r->sent_ms + RELAY_AFTER_MS) {
         relay_append(g);
     }
-    if (r->own_ended && now_ms >= r->sent_ms + RELAY_WAIT_MS) {
-        finish_append(g, r->own_end, 0, 0);
+    if (r->own_failed && now_ms >= r->sent_ms + RELAY_WAIT_MS) {
+        finish_append(g, r->own_result, 0, 0);
     }
 }
 
@@ -182,15 +181,16 @@
         finish_append(g, ST_OK, a->offset, a->tail);
     }
     else if (a->end == ST_CONFLICT) {
-        /* Our own append may have been done unanswered, or another VM has
-           claimed: the record that was read for us tells. */
+        /* Either our own append succeeded and its answer was lost, or
+           another VM has claimed the lease: the record that the gateway read
+           for us shows which. */
         finish_append(g, ST_CONFLICT, 0, a->tail);
         ls_on_read(g->lease, bg_boot_ms(), ST_OK, a->value, a->offset,
                    a->tail);
     }
 }
 
-/* ---- appending for the placing VM --------------------------------------- */
+/* ---- appending for the leader ------------------------------------------- */
 
 typedef struct {
     Gateway *g;
@@ -250,14 +250,14 @@
                           strlen(a->value), on_relay_append, c);
 }
 
-/* ---- who holds it ------------------------------------------------------- */
+/* ---- change of leader --------------------------------------------------- */
 
 void
 gn_on_lease_changed(void *ctx)
 {
     Gateway *g = ctx;
-    /* Not known, or given up: the link stays where it is until somebody
-       holds it. */
+    /* Without a known holder the link stays where it is until there is
+       one. */
     const char *address = g->lease ? ls_get_holder_address(g->lease) : NULL;
-    gn_set_placer(g, address ? address : g->uplink.placer);
+    gn_set_leader(g, address ? address : g->uplink.leader);
 }
--- a/src/gn_links.c
+++ b/src/gn_links.c
@@ -4,16 +4,18 @@
 
 #include <stdlib.h>
 
-/* Upstreams with fewer requests are as good as idle ones to who chooses. */
-#define MIN_TOLD_LOAD 3
-/* A load is told again when it differs by more than this part of it, and by
-   more than one request. */
-#define TOLD_PART 8
-#define TOLD_WAIT_MS 50 /* the same of waits */
-
-/* ---- what is told: upstreams and what they hold ------------------------- */
-
-/* A frame of upstreams that is being filled. */
+/* An upstream with fewer requests is published as idle: for the choice of an
+   upstream it makes no difference. */
+#define MIN_PUBLISHED_LOAD 3
+/* A count of requests is published again when it changed by more than one
+   request plus 1/8 of it, a wait when it changed by more than 50 ms plus
+   1/8. */
+#define LOAD_CHANGE_DIVISOR 8
+#define MIN_WAIT_CHANGE_MS 50
+
+/* ---- sending: upstreams and what they hold ------------------------------ */
+
+/* Rows of a frame of upstreams. */
 typedef struct {
     GPtrArray *rows;      /* Gwp__Upstream */
     GPtrArray *residents; /* GPtrArray of Gwp__Resident, one a row */
@@ -59,13 +61,14 @@
     f.body_case = GWP__FRAME__BODY_UPSTREAMS;
     f.upstreams = &m;
     lk_send_down(g->links, to, &f);
-    if (!to && !whole && !g->placing && !g->placer_reads) {
+    if (!to && !whole && !g->is_leader && !g->leader_reads_store) {
         lk_send_up(g->links, &f);
     }
 }
 
 void
-gn_pass_upstreams(Gateway *g, const GPtrArray *changed, const GPtrArray *gone)
+gn_publish_upstreams(Gateway *g, const GPtrArray *changed,
+                     const GPtrArray *gone)
 {
     g_autoptr(GPtrArray) list = g_ptr_array_new_with_free_func(g_free);
     g_autoptr(GPtrArray) residents = g_ptr_array_new_with_free_func(free_list);
@@ -81,7 +84,7 @@
 }
 
 void
-gn_ask_config(Gateway *g, LkPeer *of)
+gn_request_config(Gateway *g, LkPeer *of)
 {
     Gwp__ConfigWanted w = GWP__CONFIG_WANTED__INIT;
     Gwp__Frame f = GWP__FRAME__INIT;
@@ -90,8 +93,8 @@
     lk_send_down(g->links, of, &f);
 }
 
-/* False: this process does not know them yet; that there are none is known as
-   well. */
+/* False: this process does not know the upstreams yet.  An empty set that is
+   known is sent. */
 static bool
 send_all_upstreams(Gateway *g, LkPeer *to)
 {
@@ -107,14 +110,15 @@
 }
 
 void
-gn_pass_all_upstreams(Gateway *g)
+gn_publish_all_upstreams(Gateway *g)
 {
     if (lk_count_peers(g->links) > 0) {
         send_all_upstreams(g, NULL);
     }
 }
 
-/* TO: one of those linked to us; NULL: all of them. */
+/* UP: to the VM that we are linked to; else to the linked gateway TO, or to
+   all of them if it is NULL. */
 static void
 send_config(Gateway *g, LkPeer *to, bool up)
 {
@@ -135,7 +139,7 @@
 }
 
 void
-gn_pass_config(Gateway *g, LkPeer *to)
+gn_send_config(Gateway *g, LkPeer *to)
 {
     if (g->config_bytes && (to || lk_count_peers(g->links) > 0)) {
         send_config(g, to, false);
@@ -143,22 +147,22 @@
 }
 
 void
-gn_tell_away(Gateway *g)
+gn_publish_unreachable(Gateway *g)
 {
-    if (g->away->len == 0) {
+    if (g->unreachable->len == 0) {
         return;
     }
     Gwp__Away a = GWP__AWAY__INIT;
-    a.n_upstreams = g->away->len;
-    a.upstreams = (char **)g->away->pdata;
+    a.n_upstreams = g->unreachable->len;
+    a.upstreams = (char **)g->unreachable->pdata;
     Gwp__Frame f = GWP__FRAME__INIT;
     f.body_case = GWP__FRAME__BODY_AWAY;
     f.away = &a;
     lk_send_down(g->links, NULL, &f);
-    g_ptr_array_set_size(g->away, 0);
+    g_ptr_array_set_size(g->unreachable, 0);
 }
 
-/* ---- what is told: loads ------------------------------------------------ */
+/* ---- sending: loads ----------------------------------------------------- */
 
 static void
 send_totals(Gateway *g, LkPeer *to, const GArray *totals, bool whole)
@@ -193,15 +197,15 @@
     g_array_append_val((GArray *)ctx, *total);
 }
 
-/* Loads as they stand and as they were told differ enough to matter. */
 static bool
-is_worth_telling(const UtTotal *now, const UtTotal *told)
+has_changed_enough(const UtTotal *now, const UtTotal *published)
 {
-    uint32_t slack = 1 + told->running / TOLD_PART;
-    uint32_t wait_slack = TOLD_WAIT_MS + told->wait_ms / TOLD_PART;
-    return ABS((int64_t)now->running - told->running) > slack ||
-           ABS((int64_t)now->wait_ms - told->wait_ms) > wait_slack ||
-           now->stalled != told->stalled;
+    uint32_t slack = 1 + published->running / LOAD_CHANGE_DIVISOR;
+    uint32_t wait_slack =
+        MIN_WAIT_CHANGE_MS + published->wait_ms / LOAD_CHANGE_DIVISOR;
+    return ABS((int64_t)now->running - published->running) > slack ||
+           ABS((int64_t)now->wait_ms - published->wait_ms) > wait_slack ||
+           now->stalled != published->stalled;
 }
 
 typedef struct {
@@ -215,10 +219,11 @@
 {
     gpointer key = GUINT_TO_POINTER(now->key);
     UtTotal none = {.key = now->key};
-    UtTotal *told = g_hash_table_lookup(list->g->told, key);
-    if (is_worth_telling(now, told ? told : &none)) {
+    UtTotal *published = g_hash_table_lookup(list->g->published_loads, key);
+    if (has_changed_enough(now, published ? published : &none)) {
         g_array_append_val(list->changes, *now);
-        g_hash_table_replace(list->g->told, key, g_memdup2(now, sizeof(*now)));
+        g_hash_table_replace(list->g->published_loads, key,
+                             g_memdup2(now, sizeof(*now)));
     }
 }
 
@@ -228,7 +233,7 @@
     LoadList *list = ctx;
     UtTotal t = {ut_make_key(upstream), load->running, load->wait_ms,
                  load->stalled};
-    if (load->running < MIN_TOLD_LOAD) {
+    if (load->running < MIN_PUBLISHED_LOAD) {
         t.running = 0;
         t.wait_ms = 0;
     }
@@ -237,21 +242,21 @@
 }
 
 static gboolean
-is_past_load(gpointer key, gpointer total, gpointer ctx)
+remove_stale_load(gpointer key, gpointer total, gpointer ctx)
 {
-    const UtTotal *told = total;
+    const UtTotal *published = total;
     LoadList *list = ctx;
     if (g_hash_table_contains(list->seen, key)) {
         return FALSE;
     }
-    UtTotal none = {.key = told->key};
-    if (told->running > 0) {
+    UtTotal none = {.key = published->key};
+    if (published->running > 0) {
         g_array_append_val(list->changes, none);
     }
     return TRUE;
 }
 
-/* Loads that changed enough since they were last told. */
+/* Publishes the loads that changed enough since they were last sent. */
 static void
 send_loads(Gateway *g, uint64_t now_ms)
 {
@@ -260,7 +265,7 @@
     g_autoptr(GArray) changes = g_array_new(FALSE, FALSE, sizeof(UtTotal));
     LoadList list = {g, seen, changes};
     mp_visit_loads(g->placement, now_ms, add_load, &list);
-    g_hash_table_foreach_remove(g->told, is_past_load, &list);
+    g_hash_table_foreach_remove(g->published_loads, remove_stale_load, &list);
     ut_on_totals(g->upstreams, now_ms, (UtTotal *)changes->data, changes->len,
                  false);
     if (changes->len > 0) {
@@ -268,23 +273,23 @@
     }
 }
 
-/* ---- what is told: all of it -------------------------------------------- */
+/* ---- sending: a snapshot ------------------------------------------------ */
 
 void
-gn_send_all(Gateway *g, LkPeer *to, uint64_t config_version)
+gn_send_snapshot(Gateway *g, LkPeer *to, uint64_t config_version)
 {
     if (g->config && g->config->version > config_version) {
-        gn_pass_config(g, to);
+        gn_send_config(g, to);
     }
     if (!send_all_upstreams(g, to)) {
-        return; /* all are told when the first ones come */
+        return; /* the first listing is sent to all linked gateways */
     }
     g_autoptr(GArray) totals = g_array_new(FALSE, FALSE, sizeof(UtTotal));
     ut_visit_totals(g->upstreams, add_total, totals);
     send_totals(g, to, totals, true);
 }
 
-/* ---- heartbeat of the placing VM ---------------------------------------- */
+/* ---- sending: the leader's heartbeat ------------------------------------ */
 
 typedef struct {
     GPtrArray *waits; /* Gwp__Wait */
@@ -304,13 +309,13 @@
     gw_on_wait(list->g->gw, list->now_ms, model, wait_ms);
 }
 
-/* TO: one of those linked to us; NULL: all of them. */
+/* TO: a linked gateway; NULL: all of them. */
 static void
 send_state(Gateway *g, LkPeer *to, uint64_t now_ms, uint32_t gateways)
 {
     g_autoptr(GPtrArray) waits = g_ptr_array_new_with_free_func(g_free);
     WaitList list = {waits, g, now_ms};
-    if (g->placing) {
+    if (g->is_leader) {
         mp_visit_waits(g->placement, now_ms, add_wait, &list);
     }
     Gwp__State s = GWP__STATE__INIT;
@@ -323,7 +328,7 @@
     s.config_version = g->config ? g->config->version : 0;
     s.address = (char *)gn_get_address(g);
     s.sent_ms = now_ms;
-    s.idle = !g->placing;
+    s.idle = !g->is_leader;
     MpStoreRate rate = mp_get_store_rate(g->placement);
     s.store_at_once = rate.at_once;
     s.store_most = rate.most;
@@ -340,25 +345,25 @@
     send_loads(g, now_ms);
     send_state(g, NULL, now_ms, gateways);
     rb_on_gateways(g->budget, now_ms, gateways);
-    if (g->placing) {
+    if (g->is_leader) {
         gw_on_placer(g->gw, now_ms, ls_get_rest_ms(g->lease, now_ms));
-        gn_pace_mail(g, gn_count_linked(g), gateways);
+        gn_set_mail_interval(g, gn_count_linked(g), gateways);
     }
 }
 
 void
-gn_greet_member(Gateway *g, LkPeer *to)
+gn_send_initial_state(Gateway *g, LkPeer *to)
 {
-    if (g->placing) {
+    if (g->is_leader) {
         uint64_t now_ms = bg_boot_ms();
         send_state(g, to, now_ms, gn_count_members(g, now_ms));
     }
 }
 
-/* ---- what is told: limits ----------------------------------------------- */
+/* ---- sending: limits ---------------------------------------------------- */
 
 gpointer *
-gn_point_at(const GArray *items)
+gn_list_pointers(const GArray *items)
 {
     gpointer *refs = g_new(gpointer, items->len + 1);
     guint size = g_array_get_element_size((GArray *)items);
@@ -380,20 +385,20 @@
 }
 
 void
-gn_follow_fleet(Gateway *g, uint64_t now_ms)
+gn_update_fleet(Gateway *g, uint64_t now_ms)
 {
     if (!wl_has_limits(g->limits)) {
         return;
     }
-    bool knows = g->placing || gn_still_sums(g);
-    uint32_t told = g->fleet ? g->fleet : ls_get_fleet(g->lease);
-    wl_on_fleet(g->limits, now_ms, g->placing, gn_count_linked(g) + 1,
-                knows ? gn_count_members(g, now_ms) : told);
+    bool knows = g->is_leader || gn_still_aggregates(g);
+    uint32_t reported = g->fleet ? g->fleet : ls_get_fleet(g->lease);
+    wl_on_fleet(g->limits, now_ms, g->is_leader, gn_count_linked(g) + 1,
+                knows ? gn_count_members(g, now_ms) : reported);
     ls_set_fleet(g->lease, wl_get_fleet(g->limits));
 }
 
 void
-gn_tell_limits(Gateway *g, uint64_t now_ms)
+gn_publish_limits(Gateway *g, uint64_t now_ms)
 {
     if (!wl_has_limits(g->limits) || !wl_tells(g->limits, now_ms)) {
         return;
@@ -401,7 +406,7 @@
     g_autoptr(GArray) levels = g_array_new(FALSE, FALSE, sizeof(Gwp__Level));
     Gwp__Limits m = GWP__LIMITS__INIT;
     m.share = wl_visit_levels(g->limits, now_ms, add_level, levels);
-    g_autofree gpointer *refs = gn_point_at(levels);
+    g_autofree gpointer *refs = gn_list_pointers(levels);
     m.n_levels = levels->len;
     m.levels = (Gwp__Level **)refs;
     Gwp__Frame f = GWP__FRAME__INIT;
@@ -410,20 +415,22 @@
     lk_send_down(g->links, NULL, &f);
 }
 
-/* ---- what others tell --------------------------------------------------- */
+/* ---- receiving ---------------------------------------------------------- */
 
 static void
 take_limits(Gateway *g, const Gwp__Limits *m)
 {
     if (!(m->share > 0 && m->share <= 1)) {
-        bg_log(BG_WARN, "limits", "a share of %f was told", m->share);
+        bg_log(BG_WARN, "limits",
+               "ignored a frame: its share %f is not in (0, 1]", m->share);
         return;
     }
     g_autoptr(GArray) levels = g_array_new(FALSE, FALSE, sizeof(WlLevel));
     for (size_t i = 0; i < m->n_levels; i++) {
         const Gwp__Level *x = m->levels[i];
         if (!wl_is_amount(x->level, x->asked)) {
-            bg_log(BG_WARN, "limits", "no level of %s", x->workspace);
+            bg_log(BG_WARN, "limits", "invalid level of workspace %s",
+                   x->workspace);
             continue;
         }
         WlLevel level = {x->workspace, x->level, x->asked};
@@ -473,14 +480,14 @@
     gw_on_change(g->gw);
 }
 
-/* What an upstream holds, as its entry says, is older than what is known
-   here. */
+/* From a gateway that read them in the store.  Residents are taken for new
+   upstreams only: those of an entry are older than what is known here. */
 static void
-take_news_from_below(Gateway *g, const Gwp__Frame *f)
+take_upstreams_from_below(Gateway *g, const Gwp__Frame *f)
 {
     uint64_t now_ms = bg_boot_ms();
     const Gwp__Upstreams *m = f->upstreams;
-    bool news = false;
+    bool changed = false;
     for (size_t i = 0; i < m->n_upstreams; i++) {
         const Gwp__Upstream *x = m->upstreams[i];
         DepUpstream *u = read_upstream(x);
@@ -491,15 +498,15 @@
         if (x->draining) {
             mp_on_leaving(g->placement, x->id);
         }
-        news = gn_take_upstream(g, now_ms, u) || news;
+        changed = gn_take_upstream(g, now_ms, u) || changed;
     }
     for (size_t i = 0; i < m->n_gone; i++) {
-        news = ut_knows(g->upstreams, m->gone[i]) || news;
+        changed = ut_knows(g->upstreams, m->gone[i]) || changed;
         gn_drop_upstream(g, now_ms, m->gone[i]);
     }
-    if (news) {
+    if (changed) {
         lk_send_down(g->links, NULL, f);
-        if (!g->placing) {
+        if (!g->is_leader) {
             lk_send_up(g->links, f);
         }
         gw_on_change(g->gw);
@@ -521,7 +528,7 @@
 }
 
 static void
-take_away(Gateway *g, const Gwp__Away *a)
+take_unreachable(Gateway *g, const Gwp__Away *a)
 {
     for (size_t i = 0; i < a->n_upstreams; i++) {
         ut_on_away(g->upstreams, bg_boot_ms(), a->upstreams[i]);
@@ -532,11 +539,11 @@
 take_state(Gateway *g, const Gwp__State *s)
 {
     uint64_t now_ms = bg_boot_ms();
-    gn_set_placer(g, s->address);
+    gn_set_leader(g, s->address);
     uint64_t sent_ms = now_ms - lag_note(&g->uplink.lag, now_ms, s->sent_ms);
-    g->placer_ms = MAX(g->placer_ms, sent_ms);
+    g->leader_ms = MAX(g->leader_ms, sent_ms);
     g->fleet = s->gateways;
-    g->placer_reads = s->reads_store;
+    g->leader_reads_store = s->reads_store;
     g->informed = s->informed;
     ut_on_totals(g->upstreams, sent_ms, NULL, 0, false);
     if (!s->idle) {
@@ -544,7 +551,7 @@
         gw_on_placer(g->gw, now_ms, s->rest_ms);
     }
     rb_on_gateways(g->budget, now_ms, s->gateways);
-    gn_follow_version(g, now_ms, s->config_version);
+    gn_on_config_version(g, now_ms, s->config_version);
     if (s->informed && g->behind_ms == 0) {
         g->confirmed_ms = sent_ms;
     }
@@ -593,10 +600,10 @@
 take_death(Gateway *g, const LkPeer *from, const Gwp__Death *d)
 {
     gw_on_death(g->gw, bg_boot_ms(), d->request, d->upstream);
-    gn_send_death(g, d->request, d->upstream, !from || g->placing);
+    gn_send_death(g, d->request, d->upstream, !from || g->is_leader);
 }
 
-/* Of the VM that we are linked to. */
+/* A frame of the VM that we are linked to. */
 static void
 take_from_above(Gateway *g, const Gwp__Frame *f)
 {
@@ -624,7 +631,7 @@
         lk_send_down(g->links, NULL, f);
         break;
     case GWP__FRAME__BODY_AWAY:
-        take_away(g, f->away);
+        take_unreachable(g, f->away);
         lk_send_down(g->links, NULL, f);
         break;
     case GWP__FRAME__BODY_DEATH:
@@ -645,10 +652,11 @@
         }
         break;
     default:
-        break; /* a beat, or of a newer gateway */
+        break; /* empty heartbeat, or of a newer gateway */
     }
 }
 
+/* A frame of a gateway that is linked to us. */
 static void
 take_from_below(Gateway *g, LkPeer *from, const Gwp__Frame *f)
 {
@@ -660,8 +668,8 @@
         gn_take_members(g, from, f->members);
         break;
     case GWP__FRAME__BODY_DEMAND:
-        if (gn_take_demand(g, lk_get_vm(from), f->demand) && !g->placing) {
-            gn_want(g); /* passed on at once */
+        if (gn_take_demand(g, lk_get_vm(from), f->demand) && !g->is_leader) {
+            gn_schedule_demand(g);
         }
         lk_set_urgent(from, dm_waits(g->demand, lk_get_vm(from)));
         break;
@@ -669,22 +677,22 @@
         take_death(g, from, f->death);
         break;
     case GWP__FRAME__BODY_PLACEMENT_WANTED:
-        gn_repeat_placement(g, from, f->placement_wanted->upstream);
+        gn_resend_placement(g, from, f->placement_wanted->upstream);
         break;
     case GWP__FRAME__BODY_UNREACHED:
-        gn_suspect(g, f->unreached->upstream);
+        gn_report_suspicion(g, f->unreached->upstream);
         break;
     case GWP__FRAME__BODY_LEASE_ANSWER:
         gn_take_lease_answer(g, f->lease_answer);
         break;
     case GWP__FRAME__BODY_UPSTREAMS:
-        take_news_from_below(g, f);
+        take_upstreams_from_below(g, f);
         break;
     case GWP__FRAME__BODY_CONFIG:
         take_config(g, f->config);
         break;
     default:
-        break; /* a beat, or of a newer gateway */
+        break; /* empty heartbeat, or of a newer gateway */
     }
 }
 
--- a/src/gn_place.c
+++ b/src/gn_place.c
@@ -4,25 +4,24 @@
 
 #include <string.h>
 
-#define PLACE_MS 2
+#define PLACE_DELAY_MS 2 /* collects the demand of several gateways */
 
 /* ---- placement ---------------------------------------------------------- */
 
-/* With a part of the upstreams known, what is held by others would be loaded
-   again. */
+/* While only part of the upstreams is known, models that the others hold would
+   be loaded again. */
 bool
 gn_may_order(const Gateway *g, uint64_t now_ms)
 {
     return gn_knows_upstreams(g) && ls_may_order(g->lease, now_ms);
 }
 
-/* Demand comes from many gateways: decided once for what comes together. */
 void
-gn_place_soon(Gateway *g)
+gn_schedule_placement(Gateway *g)
 {
-    if (!ev_is_active(&g->place)) {
-        ev_timer_set(&g->place, PLACE_MS / 1000., 0.);
-        ev_timer_start(g->loop, &g->place);
+    if (!ev_is_active(&g->place_timer)) {
+        ev_timer_set(&g->place_timer, PLACE_DELAY_MS / 1000., 0.);
+        ev_timer_start(g->loop, &g->place_timer);
     }
 }
 
@@ -33,11 +32,11 @@
     (void)events;
     Gateway *g = t->data;
     uint64_t now_ms = bg_boot_ms();
-    if (g->placing) {
+    if (g->is_leader) {
         gn_update_placement(g, now_ms);
         mp_on_tick(g->placement, now_ms, gn_may_order(g, now_ms));
     }
-    gn_tell_away(g);
+    gn_publish_unreachable(g);
 }
 
 typedef struct {
@@ -65,7 +64,7 @@
     jl_number(l, "sequence", (int64_t)o->sequence);
     jl_end(l);
     mp_on_order_end(o->g->placement, bg_boot_ms(), o->upstream, end);
-    gn_place_soon(o->g);
+    gn_schedule_placement(o->g);
     g_free(o->upstream);
     g_free(o->model);
     g_free(o->adapter);
@@ -139,7 +138,7 @@
 }
 
 void
-gn_ask_upstream(void *ctx, const DepUpstream *of)
+gn_request_report(void *ctx, const DepUpstream *of)
 {
     AskCtx *a = g_new0(AskCtx, 1);
     a->g = ctx;
@@ -147,31 +146,30 @@
     pf_fetch_report(a->g->pool, of, on_report, a);
 }
 
-/* ---- what gateways are told ----------------------------------------------
- */
+/* ---- results of placement ----------------------------------------------- */
 
 void
 gn_on_placed(void *ctx, const char *upstream, const GPtrArray *models)
 {
-    gn_place(ctx, upstream, dep_copy_residents(models));
+    gn_set_placement(ctx, upstream, dep_copy_residents(models));
 }
 
-/* All that one look finds are told together. */
+/* Upstreams that are found unreachable together are published together. */
 void
-gn_on_away(void *ctx, const char *upstream)
+gn_on_unreachable(void *ctx, const char *upstream)
 {
     Gateway *g = ctx;
     JlLine *l = jl_begin("upstream-away");
     jl_text(l, "upstream", upstream);
     jl_end(l);
     ut_on_away(g->upstreams, bg_boot_ms(), upstream);
-    g_ptr_array_add(g->away, g_strdup(upstream));
-    gn_place_soon(g);
+    g_ptr_array_add(g->unreachable, g_strdup(upstream));
+    gn_schedule_placement(g);
 }
 
 void
-gn_on_judged(void *ctx, const char *model, double good, double slow,
-             double load, uint32_t replicas)
+gn_on_evaluated(void *ctx, const char *model, double good, double slow,
+                double load, uint32_t replicas)
 {
     (void)ctx;
     JlLine *l = jl_begin("replicas-judged");
@@ -183,12 +181,12 @@
     jl_end(l);
 }
 
-/* ---- suspicion ---------------------------------------------------------- */
+/* ---- suspected upstreams ------------------------------------------------ */
 
 void
-gn_suspect(Gateway *g, const char *upstream)
+gn_report_suspicion(Gateway *g, const char *upstream)
 {
-    if (g->placing) {
+    if (g->is_leader) {
         mp_on_suspicion(g->placement, bg_boot_ms(), upstream);
         return;
     }
--- a/src/gn_placed.c
+++ b/src/gn_placed.c
@@ -1,11 +1,11 @@
+/* What upstreams hold is published as changes of single models.  Each change
+   carries the whole new state of its model, so receiving it twice does no
+   harm.  A digest of all models of the upstream shows a gateway that it missed
+   a change; it then requests all of them. */
 #include "gn.h"
 
 #include <string.h>
 
-/* What upstreams hold is told as changes of single models, each as it stands
-   then, so that a change that comes twice does no harm.  A digest of all that
-   the upstream holds tells a gateway that it lost count; it asks anew. */
-
 void
 gn_fill_residents(const GPtrArray *models, GPtrArray *out)
 {
@@ -39,9 +39,9 @@
     return dep_take_residents(u);
 }
 
-/* ---- what differs ------------------------------------------------------- */
+/* ---- comparing ---------------------------------------------------------- */
 
-/* In any order of its adapters the same. */
+/* The same for any order of the adapters. */
 static uint32_t
 digest_resident(const DepResident *r)
 {
@@ -62,7 +62,7 @@
     return sum;
 }
 
-/* Models of A that B lacks or holds otherwise. */
+/* Models of A that B lacks or that differ there. */
 static void
 add_changed(const GPtrArray *a, const GPtrArray *b, GHashTable *names)
 {
@@ -81,7 +81,7 @@
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-/* ---- telling ------------------------------------------------------------ */
+/* ---- sending ------------------------------------------------------------ */
 
 typedef enum { TO_URGENT, TO_ALL, TO_ONE } Audience;
 
@@ -99,7 +99,7 @@
     }
 }
 
-/* Of MODELS those among NAMES; none: all. */
+/* Those of MODELS that are among NAMES; all if NAMES is empty. */
 static GPtrArray *
 choose_models(const GPtrArray *models, GHashTable *names)
 {
@@ -114,7 +114,7 @@
     return chosen;
 }
 
-/* Of NAMES those that are not among MODELS, borrowed. */
+/* Those of NAMES that are not among MODELS, borrowed. */
 static GPtrArray *
 list_dropped(const GPtrArray *models, GHashTable *names)
 {
@@ -130,7 +130,7 @@
     return dropped;
 }
 
-/* NAMES: of models that changed; none: all are told. */
+/* NAMES: of models that changed; all are sent if it is empty. */
 static void
 send_placement(Gateway *g, Audience to, LkPeer *one, const char *upstream,
                const GPtrArray *models, GHashTable *names)
@@ -150,17 +150,17 @@
     send_frame(g, to, one, &m);
 }
 
-/* Once all is due, a single change adds nothing. */
+/* An empty set stands for all models, and a change adds nothing to that. */
 static void
-note_untold(Gateway *g, const char *upstream, GHashTable *names)
+note_unpublished(Gateway *g, const char *upstream, GHashTable *names)
 {
-    GHashTable *known = g_hash_table_lookup(g->untold, upstream);
+    GHashTable *known = g_hash_table_lookup(g->unpublished, upstream);
     if (known && g_hash_table_size(known) == 0) {
         return;
     }
     if (!known || g_hash_table_size(names) == 0) {
         known = create_names();
-        g_hash_table_replace(g->untold, g_strdup(upstream), known);
+        g_hash_table_replace(g->unpublished, g_strdup(upstream), known);
     }
     GHashTableIter it;
     gpointer name;
@@ -171,7 +171,7 @@
 }
 
 void
-gn_place(Gateway *g, const char *upstream, GPtrArray *models)
+gn_set_placement(Gateway *g, const char *upstream, GPtrArray *models)
 {
     const GPtrArray *before = ut_get_placed(g->upstreams, upstream);
     g_autoptr(GHashTable) names = create_names();
@@ -183,30 +183,30 @@
                 !ut_is_told_away(g->upstreams, upstream);
     if (!same && lk_count_peers(g->links) > 0) {
         send_placement(g, TO_URGENT, NULL, upstream, models, names);
-        note_untold(g, upstream, names);
+        note_unpublished(g, upstream, names);
     }
     ut_on_placement(g->upstreams, bg_boot_ms(), upstream, models);
     gw_on_change(g->gw);
 }
 
 void
-gn_tell_the_rest(Gateway *g)
+gn_publish_placements(Gateway *g)
 {
     GHashTableIter it;
     gpointer upstream;
     gpointer names;
-    g_hash_table_iter_init(&it, g->untold);
+    g_hash_table_iter_init(&it, g->unpublished);
     while (g_hash_table_iter_next(&it, &upstream, &names)) {
         const GPtrArray *models = ut_get_placed(g->upstreams, upstream);
         if (models) {
             send_placement(g, TO_ALL, NULL, upstream, models, names);
         }
     }
-    g_hash_table_remove_all(g->untold);
+    g_hash_table_remove_all(g->unpublished);
 }
 
 void
-gn_repeat_placement(Gateway *g, LkPeer *to, const char *upstream)
+gn_resend_placement(Gateway *g, LkPeer *to, const char *upstream)
 {
     const GPtrArray *models = ut_get_placed(g->upstreams, upstream);
     if (models) {
@@ -215,10 +215,10 @@
     }
 }
 
-/* ---- being told --------------------------------------------------------- */
+/* ---- receiving ---------------------------------------------------------- */
 
 static bool
-is_told_of(const Gwp__Placement *p, const char *model)
+is_in_update(const Gwp__Placement *p, const char *model)
 {
     for (size_t i = 0; i < p->n_residents; i++) {
         if (strcmp(p->residents[i]->model, model) == 0) {
@@ -239,7 +239,7 @@
     DepUpstream *u = dep_create_upstream();
     for (guint i = 0; before && i < before->len; i++) {
         const DepResident *r = before->pdata[i];
-        if (!is_told_of(p, r->name)) {
+        if (!is_in_update(p, r->name)) {
             dep_copy_names(dep_add_resident(u, r->name)->adapters,
                            r->adapters);
         }
@@ -251,7 +251,7 @@
 }
 
 static void
-ask_anew(Gateway *g, const char *upstream)
+request_all(Gateway *g, const char *upstream)
 {
     Gwp__PlacementWanted w = GWP__PLACEMENT_WANTED__INIT;
     w.upstream = (char *)upstream;
@@ -265,15 +265,15 @@
 gn_take_placement(Gateway *g, const Gwp__Placement *p)
 {
     if (!ut_knows(g->upstreams, p->upstream)) {
-        return; /* its entry comes with all that it holds */
+        return; /* its entry will bring all that it holds */
     }
     const GPtrArray *before =
         p->whole ? NULL : ut_get_placed(g->upstreams, p->upstream);
     GPtrArray *models = apply_changes(before, p);
     if (digest_models(models) != p->digest) {
         g_ptr_array_free(models, TRUE);
-        ask_anew(g, p->upstream);
+        request_all(g, p->upstream);
         return;
     }
-    gn_place(g, p->upstream, models);
+    gn_set_placement(g, p->upstream, models);
 }
--- a/src/gn_relay.c
+++ b/src/gn_relay.c
@@ -2,82 +2,87 @@
 
 #include <string.h>
 
-/* Without a word of the placing VM for so long it is looked for: by those that
-   are linked to it at once, by a relay's members later and not all together,
-   since their relay looks for them. */
-#define HEARD_MS 1000
-#define ALONE_MS 2500
-#define ALONE_JITTER_MS 1500
-#define RETRY_ALONE_MS 4000
-/* A lost link is opened anew before the store is asked who places. */
+/* Without a heartbeat of the leader for this long it counts as lost. */
+#define LEADER_TIMEOUT_MS 1000
+/* A relay's members look for a lost leader later than the relay, which looks
+   for it on their behalf, and spread over the jitter. */
+#define MEMBER_LEADER_TIMEOUT_MS 2500
+#define LEADER_SEARCH_JITTER_MS 1500
+#define LEADER_SEARCH_INTERVAL_MS 4000
+/* After the link is lost, the lease is not read or claimed for this long, as
+   the link may be opened again. */
 #define RELINK_MS 500
-#define MEMBERS_MS 1000 /* between words of who is linked to us */
-/* Between questions for a newer configuration: a read of our own that is on
-   its way is there by then. */
-#define CONFIG_PAUSE_MS 250
-/* Here for so long, it was not sent on: it is told all. */
-#define SETTLED_MS 250
-/* One that was sent to a relay is there, and told of, after so long. */
+#define MEMBERS_INTERVAL_MS 1000 /* between reports of who is linked to us */
+/* Between requests for a newer configuration: a read of the store that is in
+   flight is answered by then. */
+#define CONFIG_REQUEST_INTERVAL_MS 250
+/* The leader moves a new gateway to a relay within this time, or it stays and
+   gets the snapshot. */
+#define SNAPSHOT_DELAY_MS 250
+/* A gateway that was assigned to a relay has linked to it and is in the
+   relay's members report after this time. */
 #define ARRIVAL_MS 1500
-/* A relay that could not be reached may be back. */
-#define SHUN_MS 5000
+/* A relay that could not be reached is tried again after this time. */
+#define UNREACHABLE_RELAY_MS 5000
 
 /* What is known of a gateway that is linked to us. */
 typedef struct {
     char *data_centre;
     char *address;
-    char *shunned;
-    GPtrArray *members;   /* char *: linked to it */
-    uint32_t expected;    /* members, with those that were sent to it */
-    uint64_t expected_ms; /* when the last one was */
+    char *unreachable_relay; /* NULL: none */
+    GPtrArray *members;      /* char *: linked to it */
+    uint32_t expected;       /* members, and those assigned to it since */
+    uint64_t expected_ms;    /* the last one was assigned */
     uint32_t fitness;
     uint64_t config_version;
-    uint64_t since_ms;
+    uint64_t since_ms; /* linked */
     bool leaving;
     bool reads_store;
-    bool told; /* all there is */
+    bool has_snapshot; /* it was sent */
 } Peer;
 
 static void
-free_member_info(Peer *p)
+free_peer_info(Peer *p)
 {
     g_free(p->data_centre);
     g_free(p->address);
-    g_free(p->shunned);
+    g_free(p->unreachable_relay);
     g_ptr_array_free(p->members, TRUE);
     g_free(p);
 }
 
-/* ---- whom we are linked to ---------------------------------------------- */
+/* ---- our own link --------------------------------------------------------
+ */
 
 bool
-gn_hears_placer(const Gateway *g, uint64_t now_ms)
+gn_hears_leader(const Gateway *g, uint64_t now_ms)
 {
-    return g->placing || (g->placer_ms && now_ms < g->placer_ms + HEARD_MS);
+    return g->is_leader ||
+           (g->leader_ms && now_ms < g->leader_ms + LEADER_TIMEOUT_MS);
 }
 
 bool
-gn_is_told_late(const Gateway *g, uint64_t now_ms)
+gn_is_lagging(const Gateway *g, uint64_t now_ms)
 {
-    return g->uplink.lag.late_ms > HEARD_MS ||
-           lk_get_quiet_ms(g->links, now_ms) > HEARD_MS;
+    return g->uplink.lag.late_ms > LEADER_TIMEOUT_MS ||
+           lk_get_quiet_ms(g->links, now_ms) > LEADER_TIMEOUT_MS;
 }
 
 bool
-gn_still_sums(const Gateway *g)
+gn_still_aggregates(const Gateway *g)
 {
-    return !g->placing && g->was_placing && lk_count_peers(g->links) > 0;
+    return !g->is_leader && g->was_leader && lk_count_peers(g->links) > 0;
 }
 
 static void
 choose_target(Gateway *g)
 {
     const Uplink *u = &g->uplink;
-    const char *target = g->placing ? NULL : u->relay ? u->relay : u->placer;
+    const char *target = g->is_leader ? NULL : u->relay ? u->relay : u->leader;
     if (g_strcmp0(target, gn_get_address(g)) == 0) {
-        target = NULL; /* of a process before this one on our VM */
+        target = NULL; /* ours, or of our VM's former process */
     }
-    g->was_placing = g->placing || (g->was_placing && !target);
+    g->was_leader = g->is_leader || (g->was_leader && !target);
     lk_set_target(g->links, target);
 }
 
@@ -93,27 +98,28 @@
         jl_end(l);
     }
     uint64_t now_ms = bg_boot_ms();
-    u->alone_ms = ALONE_MS + bg_pick_random(&g->rng, ALONE_JITTER_MS);
-    u->next_try_ms = now_ms + u->alone_ms;
+    u->leader_timeout_ms = MEMBER_LEADER_TIMEOUT_MS +
+                           bg_pick_random(&g->rng, LEADER_SEARCH_JITTER_MS);
+    u->next_search_ms = now_ms + u->leader_timeout_ms;
     choose_target(g);
 }
 
-/* For the placing VM itself. */
+/* Links to the leader itself. */
 static void
 leave_relay(Gateway *g)
 {
-    g_free(g->uplink.shunned);
-    g->uplink.shunned = g_steal_pointer(&g->uplink.relay);
+    g_free(g->uplink.unreachable_relay);
+    g->uplink.unreachable_relay = g_steal_pointer(&g->uplink.relay);
     choose_target(g);
 }
 
-/* TO: one of those linked to us; NULL: all of them. */
+/* TO: a linked gateway; NULL: all of them. */
 static void
 send_holder(Gateway *g, LkPeer *to)
 {
     Gwp__Holder h = GWP__HOLDER__INIT;
-    h.address = g->uplink.placer ? g->uplink.placer : (char *)"";
-    h.blind = g->blind;
+    h.address = g->uplink.leader ? g->uplink.leader : (char *)"";
+    h.blind = g->disconnected;
     Gwp__Frame f = GWP__FRAME__INIT;
     f.body_case = GWP__FRAME__BODY_HOLDER;
     f.holder = &h;
@@ -121,12 +127,12 @@
 }
 
 void
-gn_set_placer(Gateway *g, const char *address)
+gn_set_leader(Gateway *g, const char *address)
 {
     Uplink *u = &g->uplink;
-    if (g_strcmp0(u->placer, address) != 0) {
-        g_free(u->placer);
-        u->placer = g_strdup(address);
+    if (g_strcmp0(u->leader, address) != 0) {
+        g_free(u->leader);
+        u->leader = g_strdup(address);
         lag_reset(&u->lag);
         send_holder(g, NULL);
     }
@@ -136,17 +142,19 @@
 void
 gn_take_holder(Gateway *g, const Gwp__Holder *h)
 {
-    g->relay_blind = h->blind;
-    gn_set_placer(g, *h->address ? h->address : NULL);
+    g->relay_disconnected = h->blind;
+    gn_set_leader(g, *h->address ? h->address : NULL);
 }
 
-/* Members of a relay that learns nothing any more ask the store themselves. */
+/* Members of a relay that neither hears the leader nor reads the store read
+   the store themselves. */
 static void
-tell_blindness(Gateway *g, uint64_t now_ms)
+publish_disconnected(Gateway *g, uint64_t now_ms)
 {
-    bool blind = !gn_hears_placer(g, now_ms) && !gn_reads_store(g, now_ms);
-    if (g->blind != blind) {
-        g->blind = blind;
+    bool disconnected =
+        !gn_hears_leader(g, now_ms) && !gn_reads_store(g, now_ms);
+    if (g->disconnected != disconnected) {
+        g->disconnected = disconnected;
         send_holder(g, NULL);
     }
 }
@@ -158,7 +166,7 @@
         leave_relay(g);
         return;
     }
-    /* Who was linked to us goes there as well: no chains. */
+    /* Our members move there as well: relays are not chained. */
     Gwp__Frame f = GWP__FRAME__INIT;
     f.body_case = GWP__FRAME__BODY_ASSIGN;
     f.assign = (Gwp__Assign *)a;
@@ -174,7 +182,7 @@
     f.body_case = GWP__FRAME__BODY_ASSIGN;
     f.assign = &a;
     lk_send_down(g->links, NULL, &f);
-    g->members_ms = 0; /* that we leave is told at the next tick */
+    g->members_ms = 0; /* the next tick reports that we leave */
 }
 
 static void
@@ -192,18 +200,18 @@
     Gateway *g = ctx;
     uint64_t now_ms = bg_boot_ms();
     log_link(g, open);
-    g->relay_blind = false;
+    g->relay_disconnected = false;
     lag_reset(&g->uplink.lag);
     if (open) {
-        g->sums_due = true;
+        g->full_demand_due = true;
         g->members_ms = 0;
         wl_on_link(g->limits);
         gn_send_demand(g);
         return;
     }
-    gn_await_news(g, now_ms);
+    gn_delay_store_reads(g, now_ms);
     ls_hold_off(g->lease, now_ms + RELINK_MS);
-    /* Whatever silenced the link may have silenced the others. */
+    /* What broke the link may have broken connections to the store too. */
     ht_drop_kept(g->pool, gn_get_text(g, "store"));
     st_restart(g->config_watch, now_ms, 0);
     st_restart(g->upstream_watch, now_ms, 0);
@@ -214,48 +222,48 @@
 }
 
 void
-gn_on_unreached(void *ctx)
+gn_on_connect_failed(void *ctx)
 {
     Gateway *g = ctx;
     if (g->uplink.relay) {
         leave_relay(g);
     }
-    else if (g->uplink.shunned) {
-        /* The placing VM can't be reached from here: the relay, which may
-           share that, is better than none. */
-        set_relay(g, g->uplink.shunned);
+    else if (g->uplink.unreachable_relay) {
+        /* The leader can't be reached from here: go back to the relay, even
+           if it may be disconnected as well. */
+        set_relay(g, g->uplink.unreachable_relay);
     }
 }
 
-/* A relay that has lost the placing VM is left for a try to reach it. */
+/* When our relay has lost the leader, try to reach the leader directly. */
 static void
-look_for_placer(Gateway *g, uint64_t now_ms)
+search_leader(Gateway *g, uint64_t now_ms)
 {
     Uplink *u = &g->uplink;
-    if (g->placing || !u->relay || gn_hears_placer(g, now_ms) ||
-        now_ms < MAX(u->next_try_ms, g->placer_ms + u->alone_ms)) {
+    if (g->is_leader || !u->relay || gn_hears_leader(g, now_ms) ||
+        now_ms < MAX(u->next_search_ms, g->leader_ms + u->leader_timeout_ms)) {
         return;
     }
-    u->next_try_ms =
-        now_ms + RETRY_ALONE_MS + bg_pick_random(&g->rng, ALONE_JITTER_MS);
+    u->next_search_ms = now_ms + LEADER_SEARCH_INTERVAL_MS +
+                        bg_pick_random(&g->rng, LEADER_SEARCH_JITTER_MS);
     leave_relay(g);
 }
 
-/* A relay's members leave it to the relay to ask the store who places, as long
-   as it may find out. */
+/* A relay's members let the relay read the lease from the store, until their
+   timeout for the leader is over. */
 static void
 hold_off_lease(Gateway *g, uint64_t now_ms)
 {
     if (g->uplink.relay && lk_is_open(g->links) &&
-        now_ms < g->placer_ms + g->uplink.alone_ms) {
+        now_ms < g->leader_ms + g->uplink.leader_timeout_ms) {
         ls_hold_off(g->lease, now_ms + RELINK_MS);
     }
 }
 
-/* ---- who is linked to us ------------------------------------------------ */
+/* ---- gateways that are linked to us ------------------------------------- */
 
 void
-gn_greet(void *ctx, Gwp__Hello *hello)
+gn_fill_hello(void *ctx, Gwp__Hello *hello)
 {
     const Gateway *g = ctx;
     double share = ini_get_number(g->settings, "gateway", "cpu_share");
@@ -264,7 +272,8 @@
     hello->data_centre = (char *)gn_get_text(g, "data_centre");
     hello->address = (char *)gn_get_address(g);
     hello->fitness = (uint32_t)(share * 1000);
-    hello->shunned = g->uplink.shunned ? g->uplink.shunned : (char *)"";
+    const char *unreachable = g->uplink.unreachable_relay;
+    hello->shunned = (char *)(unreachable ? unreachable : "");
     hello->config_version = g->config ? g->config->version : 0;
 }
 
@@ -275,7 +284,7 @@
     Peer *p = g_new0(Peer, 1);
     p->data_centre = g_strdup(hello->data_centre);
     p->address = g_strdup(hello->address);
-    p->shunned = *hello->shunned ? g_strdup(hello->shunned) : NULL;
+    p->unreachable_relay = *hello->shunned ? g_strdup(hello->shunned) : NULL;
     p->members = g_ptr_array_new_with_free_func(g_free);
     p->fitness = hello->fitness;
     p->config_version = hello->config_version;
@@ -284,12 +293,13 @@
     gn_note_member(g, hello->vm);
     g->members_ms = 0;
     send_holder(g, from);
-    gn_greet_member(g, from);
-    /* The placing VM may send it on first. */
+    gn_send_initial_state(g, from);
+    /* Beyond DIRECT links the leader may assign it to a relay first, see
+       send_due_snapshot. */
     uint32_t direct = (uint32_t)ini_get_int(g->settings, "relays", "direct");
-    if (!g->placing || lk_count_peers(g->links) <= direct) {
-        p->told = true;
-        gn_send_all(g, from, p->config_version);
+    if (!g->is_leader || lk_count_peers(g->links) <= direct) {
+        p->has_snapshot = true;
+        gn_send_snapshot(g, from, p->config_version);
     }
 }
 
@@ -321,7 +331,7 @@
     }
     dm_drop(g->demand, lk_get_vm(peer));
     if (p) {
-        free_member_info(p);
+        free_peer_info(p);
         lk_set_user(peer, NULL);
     }
     g->members_ms = 0;
@@ -371,8 +381,8 @@
 static void
 send_members(Gateway *g, uint64_t now_ms)
 {
-    if (g->placing || !lk_is_open(g->links) ||
-        now_ms < g->members_ms + MEMBERS_MS) {
+    if (g->is_leader || !lk_is_open(g->links) ||
+        now_ms < g->members_ms + MEMBERS_INTERVAL_MS) {
         return;
     }
     g->members_ms = now_ms;
@@ -381,7 +391,7 @@
     Gwp__Members m = GWP__MEMBERS__INIT;
     m.n_vms = vms->len;
     m.vms = (char **)vms->pdata;
-    m.leaving = g->stop_ms != 0 || gn_is_told_late(g, now_ms);
+    m.leaving = g->stop_ms != 0 || gn_is_lagging(g, now_ms);
     m.reads_store = gn_reads_store(g, now_ms);
     m.config_version = g->config ? g->config->version : 0;
     Gwp__Frame f = GWP__FRAME__INIT;
@@ -421,19 +431,20 @@
     }
 }
 
-/* The store is cut off from here, and not from there. */
+/* Asks a member that has a newer configuration: the store may be unreachable
+   from here but not from there. */
 static void
-ask_newer_config(Gateway *g, uint64_t now_ms)
+request_newer_config(Gateway *g, uint64_t now_ms)
 {
     Newest n = {g->config ? g->config->version : 0, NULL};
     lk_visit_peers(g->links, note_version, &n);
-    if (n.peer && now_ms >= g->asked_ms + CONFIG_PAUSE_MS) {
+    if (n.peer && now_ms >= g->asked_ms + CONFIG_REQUEST_INTERVAL_MS) {
         g->asked_ms = now_ms;
-        gn_ask_config(g, n.peer);
+        gn_request_config(g, n.peer);
     }
 }
 
-/* ---- the plan of the placing VM ----------------------------------------- */
+/* ---- assignment of relays, by the leader -------------------------------- */
 
 typedef struct {
     GArray *rows;     /* RlPeer */
@@ -443,8 +454,8 @@
 static uint32_t
 count_expected(const Peer *p)
 {
-    bool lately = bg_boot_ms() < p->expected_ms + ARRIVAL_MS;
-    return lately ? MAX(p->members->len, p->expected) : p->members->len;
+    bool recent = bg_boot_ms() < p->expected_ms + ARRIVAL_MS;
+    return recent ? MAX(p->members->len, p->expected) : p->members->len;
 }
 
 static void
@@ -453,11 +464,11 @@
     PlanInput *in = ctx;
     const Peer *p = lk_get_user(peer);
     if (p) {
-        bool shuns = bg_boot_ms() < p->since_ms + SHUN_MS;
+        bool recent = bg_boot_ms() < p->since_ms + UNREACHABLE_RELAY_MS;
         RlPeer row = {.vm = lk_get_vm(peer),
                       .data_centre = p->data_centre,
                       .address = p->address,
-                      .shunned = shuns ? p->shunned : NULL,
+                      .shunned = recent ? p->unreachable_relay : NULL,
                       .fitness = p->fitness,
                       .members = count_expected(p),
                       .leaving = p->leaving};
@@ -471,8 +482,9 @@
     const PlanInput *in;
 } Plan;
 
+/* Counts the gateway just assigned to the relay at ADDRESS. */
 static void
-note_coming(const PlanInput *in, const char *address)
+add_expected(const PlanInput *in, const char *address)
 {
     for (guint i = 0; i < in->links->len; i++) {
         Peer *p = lk_get_user(in->links->pdata[i]);
@@ -493,7 +505,7 @@
     f.body_case = GWP__FRAME__BODY_ASSIGN;
     f.assign = &a;
     lk_send_down(plan->g->links, plan->in->links->pdata[which], &f);
-    note_coming(plan->in, address);
+    add_expected(plan->in, address);
 }
 
 static void
@@ -514,26 +526,27 @@
 }
 
 static void
-tell_if_settled(void *ctx, LkPeer *peer)
+send_due_snapshot(void *ctx, LkPeer *peer)
 {
     Gateway *g = ctx;
     Peer *p = lk_get_user(peer);
-    if (p && !p->told && bg_boot_ms() >= p->since_ms + SETTLED_MS) {
-        p->told = true;
-        gn_send_all(g, peer, p->config_version);
+    if (p && !p->has_snapshot &&
+        bg_boot_ms() >= p->since_ms + SNAPSHOT_DELAY_MS) {
+        p->has_snapshot = true;
+        gn_send_snapshot(g, peer, p->config_version);
     }
 }
 
 void
 gn_tick_relay(Gateway *g, uint64_t now_ms)
 {
-    if (g->placing) {
+    if (g->is_leader) {
         plan_relays(g);
     }
-    lk_visit_peers(g->links, tell_if_settled, g);
-    tell_blindness(g, now_ms);
-    ask_newer_config(g, now_ms);
+    lk_visit_peers(g->links, send_due_snapshot, g);
+    publish_disconnected(g, now_ms);
+    request_newer_config(g, now_ms);
     send_members(g, now_ms);
     hold_off_lease(g, now_ms);
-    look_for_placer(g, now_ms);
+    search_leader(g, now_ms);
 }
--- a/src/gn_start.c
+++ b/src/gn_start.c
@@ -1,19 +1,19 @@
-/* A process that starts while the store is away asks the gateways whose
-   control addresses its settings name where it may link to: over the link it
-   is told the configuration and the upstreams.  Without them it refuses
-   everything (503) until the store is back. */
+/* A process that starts while the store is unreachable asks the gateways whose
+   control addresses its settings list (the seeds) where it may link to.  Over
+   the link it gets the configuration and the upstreams.  Until it has them
+   from there or from the store it refuses all requests (503). */
 #include "gn.h"
 
-#define PATIENCE_MS 400 /* with the store, before another gateway is asked */
-#define SEED_PAUSE_MS 300
-#define SEED_CALL_MS 500
+#define STORE_TIMEOUT_MS 400 /* at the start, before a seed is asked */
+#define SEED_INTERVAL_MS 300
+#define SEED_CALL_TIMEOUT_MS 500
 
 static void
 on_introduction(void *ctx, const HtReply *reply)
 {
     Gateway *g = ctx;
-    if (reply->end != HT_DONE || reply->status != 200 || g->uplink.placer) {
-        return; /* the next seed is asked, or the store was faster */
+    if (reply->end != HT_DONE || reply->status != 200 || g->uplink.leader) {
+        return; /* the next seed is asked, or the leader is known already */
     }
     Gwp__Introduction *i =
         gwp__introduction__unpack(NULL, reply->body->len, reply->body->data);
@@ -24,7 +24,7 @@
     jl_text(l, "link", i->link);
     jl_end(l);
     if (*i->link) {
-        gn_set_placer(g, i->link);
+        gn_set_leader(g, i->link);
     }
     gwp__introduction__free_unpacked(i, NULL);
 }
@@ -33,13 +33,13 @@
 gn_tick_start(Gateway *g, uint64_t now_ms)
 {
     if (g->next_seed_ms == 0) {
-        g->next_seed_ms = now_ms + PATIENCE_MS;
+        g->next_seed_ms = now_ms + STORE_TIMEOUT_MS;
     }
     bool done = g->config && gn_knows_upstreams(g);
-    if (done || g->uplink.placer || now_ms < g->next_seed_ms) {
+    if (done || g->uplink.leader || now_ms < g->next_seed_ms) {
         return;
     }
-    g->next_seed_ms = now_ms + SEED_PAUSE_MS;
+    g->next_seed_ms = now_ms + SEED_INTERVAL_MS;
     g_auto(GStrv) seeds = g_strsplit(gn_get_text(g, "seeds"), ",", -1);
     guint count = g_strv_length(seeds);
     if (count == 0) {
@@ -48,12 +48,12 @@
     const char *seed = g_strstrip(seeds[g->next_seed++ % count]);
     if (g_strcmp0(seed, gn_get_text(g, "control")) != 0) {
         ht_fetch(g->pool, seed, "GET", "/introduction", NULL, NULL, 0,
-                 SEED_CALL_MS, on_introduction, g);
+                 SEED_CALL_TIMEOUT_MS, on_introduction, g);
     }
 }
 
-/* Itself, where it knows nobody better: over its links it tells what it
-   knows. */
+/* Names the VM that we are linked to, or this gateway, which sends what it
+   knows over its own links. */
 void
 gn_answer_introduction(Gateway *g, HtExchange *x)
 {
--- a/src/gn_store.c
+++ b/src/gn_store.c
@@ -5,42 +5,45 @@
 
 #include <string.h>
 
-/* A read of the configuration is held open for so long.  It ends with the
-   first change; a silent connection costs this long to be noticed. */
+/* A read of the configuration is held open for this long or until the first
+   change.  A connection that went silent is noticed after this time. */
 #define CONFIG_WAIT_MS 1500
-#define CONFIG_PAUSE_MS 5 /* and the next one begins */
-/* An upstream's entry is seen this late at most; well under the time in
-   which one that leaves may still get work. */
+#define CONFIG_PAUSE_MS 5 /* between such reads */
+/* Between reads of upstream entries; well under the time in which a draining
+   upstream may still get requests. */
 #define UPSTREAM_PAUSE_MS 500
-#define PLACING_UPSTREAM_PAUSE_MS 250
-/* Linked to the placing VM itself: it passes news on, and a read of our own
-   finds those that it misses. */
+#define LEADER_UPSTREAM_PAUSE_MS 250
+/* With a link to the leader itself, which publishes changes; our own read
+   finds those that the leader misses. */
 #define LINKED_CONFIG_WAIT_MS 25000
-/* Callers wait for a model and no link to the placing VM is open: entries are
-   all that tells of loads that end. */
-#define ALONE_PAUSE_MS 200
-/* A process that has lost its link waits so long to hear from others before it
-   asks the store; not all of them together. */
-#define LONELY_MS 400
-#define LONELY_JITTER_MS 300
-/* The same of one that starts: its callers are turned away meanwhile. */
-#define START_LONELY_MS 150
-#define START_JITTER_MS 150
-/* A process that by then was told nothing asks the store itself. */
-#define OVERDUE_MS 2000
-/* News that the placing VM told of must have come by then. */
+/* When requests wait for a model and the leader is not heard, entries are the
+   only source that shows the end of a load. */
+#define WAITING_UPSTREAM_PAUSE_MS 200
+/* A process that lost its link waits this long for updates over a new one
+   before it reads the store; the jitter spreads the reads of many. */
+#define STORE_DELAY_MS 400
+#define STORE_DELAY_JITTER_MS 300
+/* The same at the start; shorter, as requests are refused meanwhile. */
+#define START_STORE_DELAY_MS 150
+#define START_STORE_DELAY_JITTER_MS 150
+/* A process that got no configuration or upstreams over a link by then reads
+   the store. */
+#define START_TIMEOUT_MS 2000
+/* A newer configuration that the leader reported must arrive within this time,
+   or we read the store. */
 #define BEHIND_MS 250
-#define SLOW_CALL_MS 1000 /* a call as old as this may be silent */
-/* Longest pause between calls that fail, of a gateway among many that hear
-   each other, which together ask as often as one that hears nobody. */
-#define MOST_BACKOFF_MS 6000
-#define BACKOFF_OF_ONE_MS 30
-/* A read is at most so old, or others read themselves. */
+/* A read that is older than this may be on a connection that went silent. */
+#define SLOW_CALL_MS 1000
+/* Longest pause after failed calls of a gateway that hears the leader.  It
+   grows with the number of gateways, so that all of them together call the
+   store about as often as one that hears nobody. */
+#define MAX_BACKOFF_MS 6000
+#define BACKOFF_PER_GATEWAY_MS 30
+/* Entries read from the store count as current for this long. */
 #define STORE_FRESH_MS 1200
 
 /* ---- configuration ------------------------------------------------------ */
 
-/* C is taken over; WRITTEN is as it stands in the store. */
 void
 gn_use_config(Gateway *g, DepConfig *c, GBytes *written)
 {
@@ -51,12 +54,12 @@
     dep_unref_config(g->config);
     g->config = c;
     g->config_ms = bg_boot_ms();
-    g->members_ms = 0; /* the placing VM hears of it at once */
+    g->members_ms = 0; /* reports the version to the leader at once */
     gw_on_config(g->gw, c);
     wl_on_config(g->limits, c);
-    gn_follow_fleet(g, g->config_ms);
+    gn_update_fleet(g, g->config_ms);
     mp_on_config(g->placement, c);
-    gn_pass_config(g, NULL);
+    gn_send_config(g, NULL);
     HtLimits limits = {c->max_header_bytes, c->max_body_bytes,
                        c->header_timeout_ms, c->idle_timeout_ms};
     ht_set_limits(g->front, &limits);
@@ -75,14 +78,14 @@
     g_autoptr(GError) err = NULL;
     DepConfig *c = pf_decode_config(data, len, &err);
     if (!c) {
-        bg_log(BG_WARN, "config", "offset %llu not taken: %s",
+        bg_log(BG_WARN, "config", "ignored the record at offset %llu: %s",
                (unsigned long long)r->offset, err->message);
     }
     return c;
 }
 
-/* Of several versions the highest is taken at once; what came in force never
-   goes back. */
+/* Takes the highest of several versions.  The version in force never goes
+   back. */
 static void
 on_config_records(void *ctx, const GPtrArray *records, StPart part,
                   GHashTable *listed)
@@ -145,12 +148,12 @@
     return g->has_upstreams || st_is_listed(g->upstream_watch);
 }
 
-/* News of one reading, for the gateways that are linked to us, which seldom
-   ask the store. */
+/* Changes found by one read, to be published to linked gateways, which seldom
+   read the store. */
 typedef struct {
     GPtrArray *changed; /* DepUpstream */
     GPtrArray *gone;    /* char *, borrowed */
-} News;
+} Changes;
 
 static void
 free_upstream(void *u)
@@ -158,7 +161,7 @@
     dep_destroy_upstream(u);
 }
 
-/* Whoever reads the store logs it; others believe what is told. */
+/* Logged only by gateways that read it in the store. */
 static void
 log_gone(const char *id)
 {
@@ -168,17 +171,17 @@
 }
 
 static void
-take_gone(Gateway *g, uint64_t now_ms, const StRecord *r, News *news)
+take_gone(Gateway *g, uint64_t now_ms, const StRecord *r, Changes *changes)
 {
     if (ut_knows(g->upstreams, r->key)) {
         log_gone(r->key);
-        g_ptr_array_add(news->gone, r->key);
+        g_ptr_array_add(changes->gone, r->key);
     }
     gn_drop_upstream(g, now_ms, r->key);
 }
 
 static void
-take_entry(Gateway *g, uint64_t now_ms, const StRecord *r, News *news)
+take_entry(Gateway *g, uint64_t now_ms, const StRecord *r, Changes *changes)
 {
     gsize len;
     const void *data = g_bytes_get_data(r->value, &len);
@@ -189,20 +192,20 @@
         jl_text(l, "upstream", r->key);
         jl_text(l, "why", err->message);
         jl_end(l);
-        /* It names no upstream, so what it named before is no more. */
-        take_gone(g, now_ms, r, news);
+        /* The invalid entry replaced the former one: its upstream is gone. */
+        take_gone(g, now_ms, r, changes);
         return;
     }
     mp_on_entry(g->placement, now_ms, u);
     if (!gn_take_upstream(g, now_ms, u)) {
         return;
     }
-    /* U is taken over; most entries are heartbeats and end before this. */
+    /* U was taken over.  Most entries are heartbeats and return above. */
     DepUpstream *copy = pf_decode_upstream(r->key, data, len, NULL);
     if (copy->draining) {
         log_upstream("upstream-leaves", copy);
     }
-    g_ptr_array_add(news->changed, copy);
+    g_ptr_array_add(changes->changed, copy);
 }
 
 typedef struct {
@@ -220,15 +223,15 @@
     }
 }
 
-/* Those that went while the store was not read. */
+/* Drops upstreams that were removed while the store was not read. */
 static void
-drop_missing(Gateway *g, GHashTable *ids, GPtrArray *missing, News *news)
+drop_missing(Gateway *g, GHashTable *ids, GPtrArray *missing, Changes *changes)
 {
     Missing m = {ids, missing};
     ut_visit(g->upstreams, note_missing, &m);
     for (guint i = 0; i < missing->len; i++) {
         log_gone(missing->pdata[i]);
-        g_ptr_array_add(news->gone, missing->pdata[i]);
+        g_ptr_array_add(changes->gone, missing->pdata[i]);
     }
     ut_keep_only(g->upstreams, bg_boot_ms(), ids);
     mp_keep_only(g->placement, ids);
@@ -244,23 +247,23 @@
         g_ptr_array_new_with_free_func(free_upstream);
     g_autoptr(GPtrArray) gone = g_ptr_array_new();
     g_autoptr(GPtrArray) missing = g_ptr_array_new_with_free_func(g_free);
-    News news = {changed, gone};
+    Changes changes = {changed, gone};
     for (guint i = 0; i < records->len; i++) {
         const StRecord *r = records->pdata[i];
         if (r->value) {
-            take_entry(g, now_ms, r, &news);
+            take_entry(g, now_ms, r, &changes);
         }
         else {
-            take_gone(g, now_ms, r, &news);
+            take_gone(g, now_ms, r, &changes);
         }
     }
     if (part == ST_LAST_PAGE) {
-        drop_missing(g, listed, missing, &news);
-        gn_pass_all_upstreams(g);
+        drop_missing(g, listed, missing, &changes);
+        gn_publish_all_upstreams(g);
     }
-    /* Others take no part of a first listing: they are told all of it. */
+    /* Pages of a first listing are not published, only the whole of it. */
     if (gn_knows_upstreams(g)) {
-        gn_pass_upstreams(g, changed, gone);
+        gn_publish_upstreams(g, changed, gone);
     }
 }
 
@@ -286,69 +289,71 @@
     log_reach("upstreams", reached);
 }
 
-/* ---- how often the store is asked --------------------------------------- */
+/* ---- how often the store is read ----------------------------------------
+
+   It depends on who publishes the store's changes to us: the leader, a relay,
+   or nobody. */
 
-/* How often the store is asked follows from who tells us its news: the placing
-   VM, a relay, or nobody. */
 bool
 gn_reads_store(const Gateway *g, uint64_t now_ms)
 {
     return st_get_age_ms(g->upstream_watch, now_ms) < STORE_FRESH_MS;
 }
 
-/* News of the store come over our link. */
+/* Changes in the store reach us over our link. */
 static bool
-is_told(const Gateway *g, uint64_t now_ms)
+gets_updates(const Gateway *g, uint64_t now_ms)
 {
-    if (gn_hears_placer(g, now_ms)) {
+    if (gn_hears_leader(g, now_ms)) {
         return g->informed;
     }
-    return g->uplink.relay && lk_is_open(g->links) && !g->relay_blind &&
-           !gn_is_told_late(g, now_ms);
+    return g->uplink.relay && lk_is_open(g->links) && !g->relay_disconnected &&
+           !gn_is_lagging(g, now_ms);
 }
 
-/* Whoever reaches the store first tells the others that hear the placing VM,
-   so they needn't all press a store that is in trouble. */
+/* The first gateway that reaches the store publishes to all that hear the
+   leader, so they need not all retry often against a failing store. */
 static uint32_t
-get_most_backoff_ms(const Gateway *g, bool heard)
+get_max_backoff_ms(const Gateway *g, bool hears_leader)
 {
-    uint32_t most_ms = g->fleet * BACKOFF_OF_ONE_MS;
-    return heard ? CLAMP(most_ms, ST_MOST_BACKOFF_MS, MOST_BACKOFF_MS)
-                 : ST_MOST_BACKOFF_MS;
+    uint32_t max_ms = g->fleet * BACKOFF_PER_GATEWAY_MS;
+    return hears_leader ? CLAMP(max_ms, ST_MOST_BACKOFF_MS, MAX_BACKOFF_MS)
+                        : ST_MOST_BACKOFF_MS;
 }
 
 void
-gn_follow_store(Gateway *g, uint64_t now_ms)
+gn_schedule_store_reads(Gateway *g, uint64_t now_ms)
 {
-    bool heard = gn_hears_placer(g, now_ms);
-    bool told = is_told(g, now_ms);
-    bool direct = heard && !g->uplink.relay;
-    bool lonely = !told && now_ms >= g->uplink.lost_ms + g->uplink.patience_ms;
+    bool hears_leader = gn_hears_leader(g, now_ms);
+    bool updated = gets_updates(g, now_ms);
+    bool direct = hears_leader && !g->uplink.relay;
+    bool isolated =
+        !updated && now_ms >= g->uplink.lost_ms + g->uplink.store_delay_ms;
     bool behind = g->behind_ms && now_ms > g->behind_ms + BEHIND_MS;
-    /* Whoever should have told it does not know it either. */
+    /* The gateway that we are linked to has nothing to send either. */
     bool lacks = !g->config || !gn_knows_upstreams(g);
-    bool overdue = lacks && now_ms >= g->start_ms + OVERDUE_MS;
-    bool held_open = direct && told && !g->placing && !behind;
+    bool overdue = lacks && now_ms >= g->start_ms + START_TIMEOUT_MS;
+    bool held_open = direct && updated && !g->is_leader && !behind;
     st_set_wait(g->config_watch,
                 held_open ? LINKED_CONFIG_WAIT_MS : CONFIG_WAIT_MS);
     st_set_idle(g->config_watch,
-                !(g->placing || direct || lonely || behind || overdue));
-    bool waits = !heard && gw_count_waiting(g->gw) > 0;
-    st_set_pause(g->upstream_watch, g->placing ? PLACING_UPSTREAM_PAUSE_MS
-                                    : waits    ? ALONE_PAUSE_MS
-                                               : UPSTREAM_PAUSE_MS);
-    bool reads =
-        g->placing || lonely || overdue || (direct && !g->placer_reads);
+                !(g->is_leader || direct || isolated || behind || overdue));
+    bool waits = !hears_leader && gw_count_waiting(g->gw) > 0;
+    st_set_pause(g->upstream_watch, g->is_leader ? LEADER_UPSTREAM_PAUSE_MS
+                                    : waits      ? WAITING_UPSTREAM_PAUSE_MS
+                                                 : UPSTREAM_PAUSE_MS);
+    bool reads = g->is_leader || isolated || overdue ||
+                 (direct && !g->leader_reads_store);
     st_set_idle(g->upstream_watch, !reads);
-    uint32_t backoff_ms = get_most_backoff_ms(g, heard && !g->placing);
+    uint32_t backoff_ms = get_max_backoff_ms(g, hears_leader && !g->is_leader);
     st_set_most_backoff(g->config_watch, backoff_ms);
     st_set_most_backoff(g->upstream_watch, backoff_ms);
 }
 
-/* A newer configuration was told of; our own read should have ended with it
-   by now. */
+/* If we lack VERSION, our own read should have returned it by now; one that
+   has been out for long is given up with its connection. */
 void
-gn_follow_version(Gateway *g, uint64_t now_ms, uint64_t version)
+gn_on_config_version(Gateway *g, uint64_t now_ms, uint64_t version)
 {
     if (g->config && version <= g->config->version) {
         g->behind_ms = 0;
@@ -366,8 +371,8 @@
 uint64_t
 gn_get_config_age_ms(const Gateway *g, uint64_t now_ms)
 {
-    uint64_t told_ms = now_ms - MIN(g->confirmed_ms, now_ms);
-    return MIN(told_ms, st_get_age_ms(g->config_watch, now_ms));
+    uint64_t age_ms = now_ms - MIN(g->confirmed_ms, now_ms);
+    return MIN(age_ms, st_get_age_ms(g->config_watch, now_ms));
 }
 
 void
@@ -383,14 +388,15 @@
     g->upstream_watch = st_create_watch(g->loop, g->store, &ups, &on_ups);
     g->start_ms = bg_boot_ms();
     g->uplink.lost_ms = g->start_ms;
-    g->uplink.patience_ms =
-        START_LONELY_MS + bg_pick_random(&g->rng, START_JITTER_MS);
+    g->uplink.store_delay_ms =
+        START_STORE_DELAY_MS +
+        bg_pick_random(&g->rng, START_STORE_DELAY_JITTER_MS);
 }
 
 void
-gn_await_news(Gateway *g, uint64_t now_ms)
+gn_delay_store_reads(Gateway *g, uint64_t now_ms)
 {
     g->uplink.lost_ms = now_ms;
-    g->uplink.patience_ms =
-        LONELY_MS + bg_pick_random(&g->rng, LONELY_JITTER_MS);
+    g->uplink.store_delay_ms =
+        STORE_DELAY_MS + bg_pick_random(&g->rng, STORE_DELAY_JITTER_MS);
 }
--- a/src/lk.c
+++ b/src/lk.c
@@ -92,7 +92,7 @@
         l->handler.on_link(l->handler.ctx, false);
     }
     else {
-        l->handler.on_unreached(l->handler.ctx);
+        l->handler.on_connect_failed(l->handler.ctx);
     }
 }
 
@@ -223,7 +223,7 @@
 say_hello(LkPeer *p)
 {
     Gwp__Hello hello = GWP__HELLO__INIT;
-    p->hub->handler.greet(p->hub->handler.ctx, &hello);
+    p->hub->handler.fill_hello(p->hub->handler.ctx, &hello);
     Gwp__Frame f = GWP__FRAME__INIT;
     f.body_case = GWP__FRAME__BODY_HELLO;
     f.hello = &hello;
--- a/src/lk.h
+++ b/src/lk.h
@@ -20,7 +20,7 @@
 typedef struct {
     void *ctx;
     /* Fill in the first frame of our link; its text is borrowed. */
-    void (*greet)(void *ctx, Gwp__Hello *hello);
+    void (*fill_hello)(void *ctx, Gwp__Hello *hello);
     /* FROM: who sent it; NULL: the VM that we are linked to. */
     void (*on_frame)(void *ctx, LkPeer *from, const Gwp__Frame *frame);
     /* A gateway linked to us has come, or is gone (then PEER is freed). */
@@ -28,7 +28,7 @@
     /* Our own link opened or ended. */
     void (*on_link)(void *ctx, bool open);
     /* It could not be opened. */
-    void (*on_unreached)(void *ctx);
+    void (*on_connect_failed)(void *ctx);
 } LkHandler;
 
 Lk *lk_create(struct ev_loop *loop, const char *listen_address,
