--- a/src/fe.c
+++ b/src/fe.c
@@ -553,7 +553,8 @@
     struct mg_callbacks callbacks = {0};
     f->http = mg_start(&callbacks, f, options);
     if (!f->http) {
-        g_set_error(err, BG_ERROR, BG_ERR_AWAY, "cannot listen on %s", ports);
+        g_set_error(err, BG_ERROR, BG_ERR_UNREACHABLE, "cannot listen on %s",
+                    ports);
         fe_stop(f);
         return NULL;
     }
--- a/src/fl.c
+++ b/src/fl.c
@@ -237,7 +237,7 @@
     struct mg_callbacks callbacks = {0};
     f->http = mg_start(&callbacks, f, options);
     if (!f->http) {
-        g_set_error(err, BG_ERROR, BG_ERR_AWAY, "cannot listen on %s",
+        g_set_error(err, BG_ERROR, BG_ERR_UNREACHABLE, "cannot listen on %s",
                     params->listen);
         fl_stop(f);
         return NULL;
--- a/src/gw.c
+++ b/src/gw.c
@@ -1353,7 +1353,7 @@
         q->paid = true;
         ht_cancel_call(q->hc);
         q->hc = NULL;
-        ht_drop_kept(q->gw->pool, ut_get_address(q->ut));
+        ht_drop_idle(q->gw->pool, ut_get_address(q->ut));
         handle_failure(q, UT_END_SILENT, "silent");
     }
 }
--- a/src/lc.c
+++ b/src/lc.c
@@ -65,7 +65,7 @@
             res.end == HC_NOT_SENT ||
             (res.end == HC_DONE &&
              ((res.status >= 400 && res.status < 500) || res.status == 503));
-        g_set_error(err, BG_ERROR, none ? BG_ERR_AWAY : BG_ERR_UNKNOWN,
+        g_set_error(err, BG_ERROR, none ? BG_ERR_UNREACHABLE : BG_ERR_UNKNOWN,
                     "append: %s, status %ld", hc_end_name(res.end),
                     res.status);
     }
@@ -140,7 +140,7 @@
                       : NULL;
     bool good = doc && parse_page(doc, page);
     if (!good) {
-        g_set_error(err, BG_ERROR, BG_ERR_AWAY, "read: %s, status %ld",
+        g_set_error(err, BG_ERROR, BG_ERR_UNREACHABLE, "read: %s, status %ld",
                     hc_end_name(res.end), res.status);
     }
     else if (res.status == 410) {
@@ -149,7 +149,7 @@
         good = false;
     }
     else if (res.status != 200) {
-        g_set_error(err, BG_ERROR, BG_ERR_AWAY, "read: status %ld",
+        g_set_error(err, BG_ERROR, BG_ERR_UNREACHABLE, "read: status %ld",
                     res.status);
         good = false;
     }
--- a/src/lc.h
+++ b/src/lc.h
@@ -26,7 +26,7 @@
 
 typedef struct LogApi LogApi;
 struct LogApi {
-    /* BG_ERR_AWAY: had no effect.  BG_ERR_UNKNOWN: may take effect. */
+    /* BG_ERR_UNREACHABLE: had no effect.  BG_ERR_UNKNOWN: may take effect. */
     bool (*append)(LogApi *a, const uint8_t *data, size_t len,
                    uint64_t *offset, GError **err);
     /* Entries from FROM on, waiting up to WAIT_MS for the first.
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -434,7 +434,7 @@
     if (!g->is_leader) {
         gn_dismiss_members(g);
     }
-    ht_close_kept(g->front);
+    ht_stop_keep_alive(g->front);
 }
 
 static void
--- a/src/node.c
+++ b/src/node.c
@@ -815,7 +815,7 @@
                                      .connection_closed = count_closed};
     n->http = mg_start(&callbacks, n, options);
     if (!n->http) {
-        g_set_error(err, BG_ERROR, BG_ERR_AWAY, "cannot listen on %s",
+        g_set_error(err, BG_ERROR, BG_ERR_UNREACHABLE, "cannot listen on %s",
                     ini_get_text(n->settings, "node", "http"));
         return false;
     }
--- a/src/peer.c
+++ b/src/peer.c
@@ -709,8 +709,9 @@
     setsockopt(n->listen_fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
     if (bind(n->listen_fd, (struct sockaddr *)&addr, sizeof(addr)) != 0 ||
         listen(n->listen_fd, 512) != 0) {
-        g_set_error(err, BG_ERROR, BG_ERR_AWAY, "cannot listen on %s: %s",
-                    n->settings.listen, g_strerror(errno));
+        g_set_error(err, BG_ERROR, BG_ERR_UNREACHABLE,
+                    "cannot listen on %s: %s", n->settings.listen,
+                    g_strerror(errno));
         return false;
     }
     return true;
