--- a/src/gn.h
+++ b/src/gn.h
@@ -2,7 +2,7 @@
    rb, wl) to the store, the upstreams and the other gateways:
      gn_store      configuration and upstream entries read from the store
      gn_lease      reads and appends of the lease record
-     gn_place      orders to upstreams and their reports
+     gn_set_placement      orders to upstreams and their reports
      gn_links      frames sent to and received from other gateways
      gn_demand     demand of callers, aggregated towards the leader
      gn_placed     changes of what each upstream holds
@@ -167,7 +167,7 @@
 /* Append for the VM that we are linked to. */
 void gn_relay_lease(Gateway *g, const Gwp__LeaseAppend *a);
 
-/* gn_place */
+/* gn_set_placement */
 void gn_on_place_timer(struct ev_loop *loop, ev_timer *t, int events);
 void gn_on_placed(void *ctx, const char *upstream, const GPtrArray *models);
 void gn_on_unreachable(void *ctx, const char *upstream);
@@ -203,7 +203,7 @@
 void gn_take_members(Gateway *g, LkPeer *from, const Gwp__Members *m);
 void gn_take_assign(Gateway *g, const Gwp__Assign *a);
 void gn_take_holder(Gateway *g, const Gwp__Holder *h);
-void gn_on_peer(void *ctx, LkPeer *peer, bool here);
+void gn_on_peer(void *ctx, LkPeer *peer, bool linked);
 void gn_on_link(void *ctx, bool open);
 void gn_on_connect_failed(void *ctx);
 /* ADDRESS: of the leader's links; NULL: not known. */
--- a/src/gn_relay.c
+++ b/src/gn_relay.c
@@ -65,7 +65,7 @@
 gn_is_lagging(const Gateway *g, uint64_t now_ms)
 {
     return g->uplink.lag.late_ms > LEADER_TIMEOUT_MS ||
-           lk_get_quiet_ms(g->links, now_ms) > LEADER_TIMEOUT_MS;
+           lk_get_frame_age_ms(g->links, now_ms) > LEADER_TIMEOUT_MS;
 }
 
 bool
@@ -212,7 +212,7 @@
     gn_delay_store_reads(g, now_ms);
     ls_hold_off(g->lease, now_ms + RELINK_MS);
     /* What broke the link may have broken connections to the store too. */
-    ht_drop_kept(g->pool, gn_get_text(g, "store"));
+    ht_drop_idle(g->pool, gn_get_text(g, "store"));
     st_restart(g->config_watch, now_ms, 0);
     st_restart(g->upstream_watch, now_ms, 0);
     ut_outdate_placement(g->upstreams);
@@ -322,11 +322,11 @@
 }
 
 void
-gn_on_peer(void *ctx, LkPeer *peer, bool here)
+gn_on_peer(void *ctx, LkPeer *peer, bool linked)
 {
     Gateway *g = ctx;
     Peer *p = lk_get_user(peer);
-    if (here) {
+    if (linked) {
         return;
     }
     dm_drop(g->demand, lk_get_vm(peer));
--- a/src/gn_store.c
+++ b/src/gn_store.c
@@ -363,7 +363,7 @@
     }
     else if (now_ms > g->behind_ms + SLOW_CALL_MS) {
         g->behind_ms = now_ms;
-        ht_drop_kept(g->pool, gn_get_text(g, "store"));
+        ht_drop_idle(g->pool, gn_get_text(g, "store"));
         st_restart(g->config_watch, now_ms, SLOW_CALL_MS);
     }
 }
--- a/src/lk.c
+++ b/src/lk.c
@@ -8,34 +8,36 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define MAX_FRAME (8 * 1024 * 1024) /* all upstreams of a large fleet */
-/* A peer that doesn't read gets no more than this. */
-#define MAX_UNSENT (16 * 1024 * 1024)
-#define CONNECT_MS 400
-/* Those that a lost relay leaves behind don't come as one. */
+#define MAX_FRAME_BYTES                                                       \
+    (8 * 1024 * 1024) /* all upstreams of a large fleet                       \
+                       */
+/* Output queued for a peer that does not read; more closes its link. */
+#define MAX_UNSENT_BYTES (16 * 1024 * 1024)
+#define CONNECT_TIMEOUT_MS 400
+/* The jitter spreads the members of a lost relay. */
 #define RECONNECT_MS 100
 #define RECONNECT_JITTER_MS 100
 #define HEAD_BYTES 4
 
 struct LkPeer {
-    Lk *hub;
+    Lk *links;
     int fd;
-    bool ours; /* we opened it */
+    bool outgoing; /* our own link */
     bool connecting;
     bool urgent;
-    bool taking;   /* its frames are being handed over */
-    bool dropped;  /* meanwhile: freed after that */
-    bool overflew; /* frames for it were lost: it is closed */
+    bool dispatching; /* inside on_frame for one of its frames */
+    bool dropped;     /* closed meanwhile: freed after the dispatch */
+    bool overflowed;  /* frames for it were dropped: the next tick closes it */
     ev_io read_watch;
     ev_io write_watch;
     GByteArray *in;
     GByteArray *out;
     char *vm;
     void *user;
-    uint64_t heard_ms; /* any byte */
-    uint64_t frame_ms; /* a whole frame */
-    uint64_t said_ms;
-    GList *link; /* in the hub's peers; NULL: ours */
+    uint64_t received_ms; /* the last byte */
+    uint64_t frame_ms;    /* the last whole frame */
+    uint64_t sent_ms;
+    GList *link; /* in the peers of its Lk; NULL: our own link */
 };
 
 struct Lk {
@@ -44,10 +46,10 @@
     ev_io accept_watch;
     LkHandler handler;
     BgRandom rng;
-    GQueue peers;    /* LkPeer, linked to us */
-    guint next_some; /* whose turn it is */
-    char *target;    /* NULL: none */
-    LkPeer *up;      /* our link; NULL: none */
+    GQueue peers;      /* LkPeer, linked to us */
+    guint next_chosen; /* index of the next peer of lk_send_some */
+    char *target;      /* NULL: none */
+    LkPeer *up;        /* our own link; NULL: none */
     uint64_t next_connect_ms;
 };
 
@@ -63,21 +65,20 @@
 static void
 drop_peer(LkPeer *p)
 {
-    ev_io_stop(p->hub->loop, &p->read_watch);
-    ev_io_stop(p->hub->loop, &p->write_watch);
+    ev_io_stop(p->links->loop, &p->read_watch);
+    ev_io_stop(p->links->loop, &p->write_watch);
     close(p->fd);
-    p->dropped = p->taking;
+    p->dropped = p->dispatching;
     if (!p->dropped) {
         free_peer(p);
     }
 }
 
-/* The far end is gone, or never answered. */
 static void
 close_peer(LkPeer *p)
 {
-    Lk *l = p->hub;
-    if (!p->ours) {
+    Lk *l = p->links;
+    if (!p->outgoing) {
         g_queue_delete_link(&l->peers, p->link);
         l->handler.on_peer(l->handler.ctx, p, false);
         drop_peer(p);
@@ -102,29 +103,30 @@
     while (p->out->len > 0) {
         ssize_t n = send(p->fd, p->out->data, p->out->len, MSG_NOSIGNAL);
         if (n <= 0) {
-            /* An error is seen by the reader. */
+            /* on_readable gets the error and closes the link. */
             return;
         }
         g_byte_array_remove_range(p->out, 0, (guint)n);
     }
-    ev_io_stop(p->hub->loop, &p->write_watch);
+    ev_io_stop(p->links->loop, &p->write_watch);
 }
 
 static void
 send_bytes(LkPeer *p, const GByteArray *bytes)
 {
-    p->overflew = p->overflew || p->out->len + bytes->len > MAX_UNSENT;
-    if (p->overflew) {
+    p->overflowed =
+        p->overflowed || p->out->len + bytes->len > MAX_UNSENT_BYTES;
+    if (p->overflowed) {
         return;
     }
     g_byte_array_append(p->out, bytes->data, bytes->len);
-    p->said_ms = bg_boot_ms();
+    p->sent_ms = bg_boot_ms();
     if (!p->connecting) {
-        ev_io_start(p->hub->loop, &p->write_watch);
+        ev_io_start(p->links->loop, &p->write_watch);
     }
 }
 
-/* With its length before it; to be freed. */
+/* The frame, preceded by its length; to be freed. */
 static GByteArray *
 pack_frame(const Gwp__Frame *frame)
 {
@@ -144,24 +146,25 @@
     send_bytes(p, bytes);
 }
 
-/* One without a body: this end lives. */
+/* A frame without a body. */
 static void
-send_beat(LkPeer *p)
+send_heartbeat(LkPeer *p)
 {
     Gwp__Frame f = GWP__FRAME__INIT;
     send_frame(p, &f);
 }
 
-/* A frame may have this very link closed.  False: what came is no frame. */
+/* Handles all whole frames of the input.  Handling one may close this link.
+   False: the input is not a valid frame. */
 static bool
-hand_over(LkPeer *p, size_t *taken)
+dispatch_frames(LkPeer *p, size_t *taken)
 {
     size_t at = 0;
     while (!p->dropped && p->in->len - at >= HEAD_BYTES) {
         uint32_t head;
         memcpy(&head, p->in->data + at, HEAD_BYTES);
         size_t len = ntohl(head);
-        if (len > MAX_FRAME) {
+        if (len > MAX_FRAME_BYTES) {
             return false;
         }
         if (p->in->len - at - HEAD_BYTES < len) {
@@ -173,7 +176,8 @@
             return false;
         }
         p->frame_ms = bg_boot_ms();
-        p->hub->handler.on_frame(p->hub->handler.ctx, p->ours ? NULL : p, f);
+        p->links->handler.on_frame(p->links->handler.ctx,
+                                   p->outgoing ? NULL : p, f);
         gwp__frame__free_unpacked(f, NULL);
         at += HEAD_BYTES + len;
     }
@@ -182,16 +186,16 @@
 }
 
 static void
-take_frames(LkPeer *p)
+read_frames(LkPeer *p)
 {
     size_t taken = 0;
-    p->taking = true;
-    bool whole = hand_over(p, &taken);
-    p->taking = false;
+    p->dispatching = true;
+    bool valid = dispatch_frames(p, &taken);
+    p->dispatching = false;
     if (p->dropped) {
         free_peer(p);
     }
-    else if (!whole) {
+    else if (!valid) {
         close_peer(p);
     }
     else {
@@ -214,16 +218,16 @@
         close_peer(p);
         return;
     }
-    p->heard_ms = bg_boot_ms();
+    p->received_ms = bg_boot_ms();
     g_byte_array_append(p->in, buf, (guint)n);
-    take_frames(p);
+    read_frames(p);
 }
 
 static void
-say_hello(LkPeer *p)
+send_hello(LkPeer *p)
 {
     Gwp__Hello hello = GWP__HELLO__INIT;
-    p->hub->handler.fill_hello(p->hub->handler.ctx, &hello);
+    p->links->handler.fill_hello(p->links->handler.ctx, &hello);
     Gwp__Frame f = GWP__FRAME__INIT;
     f.body_case = GWP__FRAME__BODY_HELLO;
     f.hello = &hello;
@@ -241,10 +245,10 @@
             return;
         }
         p->connecting = false;
-        p->heard_ms = bg_boot_ms();
+        p->received_ms = bg_boot_ms();
         ev_io_start(loop, &p->read_watch);
-        say_hello(p);
-        p->hub->handler.on_link(p->hub->handler.ctx, true);
+        send_hello(p);
+        p->links->handler.on_link(p->links->handler.ctx, true);
     }
     flush_peer(p);
 }
@@ -253,13 +257,13 @@
 create_peer(Lk *l, int fd)
 {
     LkPeer *p = g_new0(LkPeer, 1);
-    p->hub = l;
+    p->links = l;
     p->fd = fd;
     p->in = g_byte_array_new();
     p->out = g_byte_array_new();
     p->vm = g_strdup("");
-    p->heard_ms = bg_boot_ms();
-    p->frame_ms = p->heard_ms;
+    p->received_ms = bg_boot_ms();
+    p->frame_ms = p->received_ms;
     ev_io_init(&p->read_watch, on_readable, fd, EV_READ);
     ev_io_init(&p->write_watch, on_writable, fd, EV_WRITE);
     p->read_watch.data = p;
@@ -324,7 +328,7 @@
         return;
     }
     l->up = create_peer(l, fd);
-    l->up->ours = true;
+    l->up->outgoing = true;
     l->up->connecting = true;
     ev_io_start(l->loop, &l->up->write_watch);
 }
@@ -360,7 +364,7 @@
 }
 
 uint64_t
-lk_get_quiet_ms(const Lk *l, uint64_t now_ms)
+lk_get_frame_age_ms(const Lk *l, uint64_t now_ms)
 {
     return l->up ? now_ms - l->up->frame_ms : UINT64_MAX;
 }
@@ -391,10 +395,10 @@
 {
     uint32_t n = MIN(count, l->peers.length);
     for (uint32_t i = 0; i < n; i++) {
-        guint nth = (l->next_some + i) % l->peers.length;
+        guint nth = (l->next_chosen + i) % l->peers.length;
         send_frame(g_queue_peek_nth(&l->peers, nth), frame);
     }
-    l->next_some += n;
+    l->next_chosen += n;
     return n;
 }
 
@@ -440,7 +444,7 @@
 lk_set_vm(LkPeer *p, const char *vm)
 {
     GList *next;
-    for (GList *l = p->hub->peers.head; l; l = next) {
+    for (GList *l = p->links->peers.head; l; l = next) {
         next = l->next;
         LkPeer *former = l->data;
         if (former != p && strcmp(former->vm, vm) == 0) {
@@ -464,29 +468,29 @@
 }
 
 static void
-beat(LkPeer *p, uint64_t now_ms)
+send_due_heartbeat(LkPeer *p, uint64_t now_ms)
 {
-    if (!p->connecting && now_ms >= p->said_ms + LK_BEAT_MS) {
-        send_beat(p);
+    if (!p->connecting && now_ms >= p->sent_ms + LK_HEARTBEAT_MS) {
+        send_heartbeat(p);
     }
 }
 
 static void
-look_up(Lk *l, uint64_t now_ms)
+check_up(Lk *l, uint64_t now_ms)
 {
-    uint64_t most = l->up->connecting ? CONNECT_MS : LK_SILENT_MS;
-    if (now_ms > l->up->heard_ms + most) {
+    uint64_t max_ms = l->up->connecting ? CONNECT_TIMEOUT_MS : LK_SILENT_MS;
+    if (now_ms > l->up->received_ms + max_ms) {
         close_peer(l->up);
         return;
     }
-    beat(l->up, now_ms);
+    send_due_heartbeat(l->up, now_ms);
 }
 
 void
 lk_on_tick(Lk *l, uint64_t now_ms)
 {
     if (l->up) {
-        look_up(l, now_ms);
+        check_up(l, now_ms);
     }
     else if (l->target && now_ms >= l->next_connect_ms) {
         connect_up(l, now_ms);
@@ -495,10 +499,11 @@
     for (GList *p = l->peers.head; p; p = next) {
         next = p->next;
         LkPeer *peer = p->data;
-        if (peer->overflew || now_ms > peer->heard_ms + LK_SILENT_MS * 2) {
+        if (peer->overflowed ||
+            now_ms > peer->received_ms + LK_SILENT_MS * 2) {
             close_peer(peer);
             continue;
         }
-        beat(peer, now_ms);
+        send_due_heartbeat(peer, now_ms);
     }
 }
