--- a/src/so.c
+++ b/src/so.c
@@ -8,8 +8,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define BACKLOG 512 /* a full queue drops opening packets for seconds */
-/* Unacknowledged bytes for so long: the far end or the path is dead. */
+#define BACKLOG 512 /* if the queue is full, SYNs are dropped for seconds */
+/* With bytes unacknowledged for this long the kernel closes the connection. */
 #define USER_TIMEOUT_MS 4000
 
 static bool
@@ -58,7 +58,7 @@
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
     if (fd < 0 || bind(fd, (struct sockaddr *)&addr, sizeof(addr)) != 0 ||
         listen(fd, BACKLOG) != 0) {
-        g_set_error(err, BG_ERROR, BG_ERR_AWAY, "%s: %s", address,
+        g_set_error(err, BG_ERROR, BG_ERR_UNREACHABLE, "%s: %s", address,
                     g_strerror(errno));
         if (fd >= 0) {
             close(fd);
@@ -115,6 +115,6 @@
 void
 so_reset_on_close(int fd)
 {
-    struct linger off = {1, 0};
-    setsockopt(fd, SOL_SOCKET, SO_LINGER, &off, sizeof(off));
+    struct linger reset = {1, 0};
+    setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
 }
--- a/src/so.h
+++ b/src/so.h
@@ -1,5 +1,5 @@
-/* so: TCP sockets as ht and lk use them: numeric addresses, never blocking,
-   and closed by the kernel when the far end or the path is dead. */
+/* so: non-blocking TCP sockets for ht and lk.  Addresses are numeric.  The
+   kernel closes a connection whose far end or path is dead. */
 #ifndef SO_H
 #define SO_H
 
@@ -7,16 +7,17 @@
 
 /* Listen on ADDRESS (IP:PORT); -1 with ERR set when that fails. */
 int so_listen(const char *address, GError **err);
-/* Begin to connect; the socket is writable when that ended, see
-   so_is_connected.  -1: it can't be begun. */
+/* Start to connect.  The socket becomes writable when that is done or failed,
+   see so_is_connected.  -1: it failed at once. */
 int so_connect(const char *address);
 bool so_is_connected(int fd);
-/* The next connection of a listening socket; -1: none waits. */
+/* The next connection of a listening socket; -1: none is pending. */
 int so_accept(int fd);
-/* Whether the far end has closed, asked without taking a byte. */
+/* Whether the far end has closed; consumes no input. */
 bool so_is_closed_by_peer(int fd);
-/* Bytes on their way are dropped when FD is closed instead of being delivered
-   later, when a cut link heals: whoever gave a call up has acted on that. */
+/* Make close() drop unsent bytes and reset the connection.  Otherwise a
+   request could still be delivered when the network recovers, after its sender
+   gave it up and acted on that. */
 void so_reset_on_close(int fd);
 
 #endif
