--- a/src/ht.h
+++ b/src/ht.h
@@ -1,7 +1,7 @@
-/* ht: HTTP/1.1 on an event loop, both sides.  A server hands over whole
-   requests and takes answers in pieces; a pool makes calls over kept
-   connections.  Parsing is http-parser's, events are libev's.  Everything
-   here belongs to the loop's thread. */
+/* ht: HTTP/1.1 server and client on an event loop (libev, http-parser).  The
+   server passes on requests once they were read whole and sends answers in
+   pieces.  The client is a pool of keep-alive connections.  All calls and
+   callbacks are on the loop's thread. */
 #ifndef HT_H
 #define HT_H
 
@@ -14,7 +14,7 @@
     const char *value;
 } HtHeader;
 
-/* Head of a request or an answer; its text lives as long as it does. */
+/* Head of a request or an answer, which owns its texts. */
 typedef struct {
     const char *method; /* of a request */
     const char *target; /* of a request: path and query, as sent */
@@ -37,17 +37,18 @@
 typedef struct {
     uint32_t header_bytes;
     uint32_t body_bytes;
-    uint32_t header_ms; /* from the first byte of a head to its last */
-    uint32_t idle_ms;   /* of a kept connection */
+    uint32_t header_ms; /* a request that takes more than twice this to be
+                           read is cut off */
+    uint32_t idle_ms;   /* of a keep-alive connection */
 } HtLimits;
 
 typedef struct {
     void *ctx;
-    /* A request was read whole; it is answered with ht_start_answer,
-       ht_write_answer and ht_end_answer, or given up with ht_abort_answer.
-       X is gone after either end. */
+    /* A request was read whole.  Answer it with ht_start_answer,
+       ht_write_answer and ht_end_answer, or close it with ht_abort_answer;
+       X is freed by ht_end_answer and ht_abort_answer. */
     void (*on_request)(void *ctx, HtExchange *x);
-    /* The client closed before its answer was whole; X is gone after it. */
+    /* The client closed before its answer ended; X is freed after this. */
     void (*on_gone)(void *ctx, HtExchange *x);
 } HtHandler;
 
@@ -56,9 +57,11 @@
                     const HtHandler *handler, GError **err);
 void ht_destroy_server(HtServer *s);
 void ht_set_limits(HtServer *s, const HtLimits *limits);
-/* Answers end their connections from now on, idle ones included. */
-void ht_close_kept(HtServer *s);
-/* Ends what was idle or slow for too long; call every 100 ms or so. */
+/* From now on connections are closed after their answer, and idle ones soon.
+ */
+void ht_stop_keep_alive(HtServer *s);
+/* Closes connections that were idle or slow for too long; call about every
+   100 ms. */
 void ht_tick_server(HtServer *s, uint64_t now_ms);
 uint32_t ht_count_connections(const HtServer *s);
 
@@ -68,16 +71,16 @@
 uint64_t ht_get_arrival_ms(const HtExchange *x);
 void *ht_get_user(const HtExchange *x);
 void ht_set_user(HtExchange *x, void *user);
-/* Whether the client has closed, asked of the socket just now. */
+/* Whether the client has closed; checks the socket. */
 bool ht_is_gone(const HtExchange *x);
 
-/* HEADERS: whole lines with their line ends, without those that frame the
-   body.  LENGTH below 0: the body is sent in chunks. */
+/* HEADERS: header lines, each with its CRLF, without those that frame the
+   body.  LENGTH below 0: the body is sent chunked. */
 void ht_start_answer(HtExchange *x, uint16_t status, const char *headers,
                      int64_t length);
 void ht_write_answer(HtExchange *x, const char *data, size_t len);
 void ht_end_answer(HtExchange *x);
-/* Close without the rest: the client sees that the answer is not whole. */
+/* Close without the rest: the client sees that the answer is incomplete. */
 void ht_abort_answer(HtExchange *x);
 
 /* ---- calls -------------------------------------------------------------- */
@@ -89,45 +92,47 @@
     HT_DONE,     /* the whole answer was received */
     HT_NOT_SENT, /* no byte of the request left this process */
     HT_BROKEN,   /* the connection failed after bytes were sent */
-    HT_GARBLED   /* what came is no HTTP */
+    HT_GARBLED   /* the answer is not valid HTTP */
 } HtEnd;
 
 typedef struct {
     const char *address; /* IP:PORT */
-    /* The whole request, head and body; taken over by the call. */
+    /* Head and body; taken over by the call. */
     GByteArray *request;
     uint32_t connect_ms;
-    /* An answer that carries another value in this header belongs to
-       another call and is passed over.  NULL: any answer is ours. */
+    /* An answer with another value in this header belongs to another call and
+       is skipped.  NULL: any answer is ours. */
     const char *match_name;
     const char *match_value;
-    uint32_t max_idle_ms; /* of a kept connection; 0: any age */
-    bool fresh;           /* over a new connection, not kept after it */
+    uint32_t max_idle_ms; /* reuse no connection that was idle for longer; 0:
+                             any */
+    bool fresh;           /* use a new connection, and close it afterwards */
 } HtRequest;
 
 typedef struct {
     void *ctx;
     void (*on_head)(void *ctx, HtCall *call, const HtHead *head);
     void (*on_data)(void *ctx, HtCall *call, const char *data, size_t len);
-    /* Exactly once; the call is gone after it. */
+    /* Called exactly once; the call is freed after it. */
     void (*on_end)(void *ctx, HtCall *call, HtEnd end);
 } HtCallHandler;
 
 HtPool *ht_create_pool(struct ev_loop *loop);
-/* Calls that are out end as broken; their handlers must start no others. */
+/* Calls in progress end as HT_BROKEN; their handlers must start no others. */
 void ht_destroy_pool(HtPool *p);
-/* Always answered through HANDLER, never before this returns. */
+/* The result always arrives through HANDLER, never before this returns. */
 HtCall *ht_start_call(HtPool *p, const HtRequest *req,
                       const HtCallHandler *handler);
-/* Close its connection: the far side drops the work.  No on_end follows. */
+/* Close its connection, so that the far side drops the work.  No on_end
+   follows. */
 void ht_cancel_call(HtCall *call);
-/* Whether any byte of the request was handed to the network. */
+/* Whether any byte of the request was handed to the kernel. */
 bool ht_was_sent(const HtCall *call);
 void ht_tick_pool(HtPool *p, uint64_t now_ms);
-/* Forget kept connections to ADDRESS: one of them was found silent. */
-void ht_drop_kept(HtPool *p, const char *address);
+/* Close the idle connections to ADDRESS, after one of them went silent. */
+void ht_drop_idle(HtPool *p, const char *address);
 
-/* A call that is collected whole. */
+/* Result of ht_fetch. */
 typedef struct {
     HtEnd end;
     bool timed_out;
@@ -138,7 +143,7 @@
 typedef void (*HtReplyFn)(void *ctx, const HtReply *reply);
 
 /* Send METHOD TARGET with BODY (may be NULL) and EXTRA header lines (may be
-   NULL) and hand the whole answer to DONE, within TOTAL_MS. */
+   NULL), and call DONE with the whole answer or after TOTAL_MS. */
 void ht_fetch(HtPool *p, const char *address, const char *method,
               const char *target, const char *extra, const void *body,
               size_t body_len, uint32_t total_ms, HtReplyFn done, void *ctx);
--- a/src/ht_int.h
+++ b/src/ht_int.h
@@ -1,5 +1,5 @@
-/* ht_int: what the server and the pool of ht share: messages as the parser
-   hands them over in pieces. */
+/* ht_int: internal to ht: collects the head of a message from the parser's
+   callbacks, for the server and the pool. */
 #ifndef HT_INT_H
 #define HT_INT_H
 
@@ -22,7 +22,7 @@
 void ht_free_message(HtMessage *m);
 void ht_add_header_name(HtMessage *m, const char *at, size_t len);
 void ht_add_header_value(HtMessage *m, const char *at, size_t len);
-/* The head was parsed whole. */
+/* All headers were parsed. */
 void ht_finish_head(HtMessage *m, const http_parser *p);
 
 #endif
--- a/src/ht_pool.c
+++ b/src/ht_pool.c
@@ -7,15 +7,16 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Engines state their idle timeout in whole seconds, rounded; a request that
-   crosses their close is lost, so kept connections end a second before. */
+/* Engines state their idle timeout in whole seconds, rounded.  A request that
+   crosses their close is lost, so idle connections are closed a second
+   earlier. */
 #define KEEP_MARGIN_MS 1100
-#define DEFAULT_KEEP_MS 4000 /* no timeout was told */
+#define DEFAULT_KEEP_MS 4000 /* without a Keep-Alive header */
 
-typedef struct Wire Wire;
+typedef struct Conn Conn;
 
 /* One connection of the pool. */
-struct Wire {
+struct Conn {
     HtPool *pool;
     char *address;
     int fd;
@@ -23,21 +24,21 @@
     ev_io write_watch;
     http_parser parser;
     HtMessage msg;
-    HtCall *call; /* NULL: kept */
+    HtCall *call; /* NULL: idle */
     bool connecting;
     bool reusable;
-    bool passed_over;  /* the message being read is another call's */
-    bool got_message;  /* the call's answer is whole */
-    bool parsing;      /* inside the parser's callbacks */
-    bool cancelled;    /* by a handler, inside the parser's callbacks */
-    uint32_t keep_ms;  /* how long it may be kept idle */
-    uint64_t since_ms; /* kept, or connecting, since */
-    GList *link;       /* in the pool's wires */
+    bool skipped;     /* the message being read is interim or another call's */
+    bool got_message; /* the call's answer is whole */
+    bool parsing;     /* inside the parser's callbacks */
+    bool cancelled;   /* by a handler, inside the parser's callbacks */
+    uint32_t keep_ms; /* how long it may be idle */
+    uint64_t since_ms; /* idle, or connecting, since */
+    GList *link;       /* in the pool's conns */
 };
 
 struct HtCall {
     HtPool *pool;
-    Wire *wire;
+    Conn *conn;
     HtCallHandler handler;
     GByteArray *request;
     size_t sent;
@@ -45,13 +46,13 @@
     char *match_name;
     char *match_value;
     bool fresh;
-    bool failed; /* no connection could be begun: ends at the next tick */
+    bool failed; /* no connection could be opened: ends at fail_timer */
     GList *link; /* in the pool's failed calls */
 };
 
 struct HtPool {
     struct ev_loop *loop;
-    GQueue wires;  /* Wire; kept ones too */
+    GQueue conns;  /* Conn; also the idle ones */
     GQueue failed; /* HtCall */
     ev_timer fail_timer;
 };
@@ -66,19 +67,19 @@
 }
 
 static void
-close_wire(Wire *w)
+close_conn(Conn *w)
 {
     ev_io_stop(w->pool->loop, &w->read_watch);
     ev_io_stop(w->pool->loop, &w->write_watch);
     close(w->fd);
-    g_queue_delete_link(&w->pool->wires, w->link);
+    g_queue_delete_link(&w->pool->conns, w->link);
     ht_free_message(&w->msg);
     g_free(w->address);
     g_free(w);
 }
 
 static void
-end_call(Wire *w, HtEnd end)
+end_call(Conn *w, HtEnd end)
 {
     HtCall *call = w->call;
     w->call = NULL;
@@ -87,13 +88,13 @@
 }
 
 static void
-break_wire(Wire *w, HtEnd end)
+fail_conn(Conn *w, HtEnd end)
 {
     HtCall *call = w->call;
     w->call = NULL;
-    close_wire(w);
+    close_conn(w);
     if (call) {
-        call->wire = NULL;
+        call->conn = NULL;
         call->handler.on_end(call->handler.ctx, call,
                              call->sent == 0 ? HT_NOT_SENT : end);
         free_call(call);
@@ -105,7 +106,7 @@
 static int
 on_answer_begin(http_parser *p)
 {
-    Wire *w = p->data;
+    Conn *w = p->data;
     ht_free_message(&w->msg);
     ht_start_message(&w->msg);
     return 0;
@@ -114,7 +115,7 @@
 static int
 on_answer_name(http_parser *p, const char *at, size_t len)
 {
-    Wire *w = p->data;
+    Conn *w = p->data;
     ht_add_header_name(&w->msg, at, len);
     return 0;
 }
@@ -122,13 +123,13 @@
 static int
 on_answer_value(http_parser *p, const char *at, size_t len)
 {
-    Wire *w = p->data;
+    Conn *w = p->data;
     ht_add_header_value(&w->msg, at, len);
     return 0;
 }
 
 static bool
-is_of_other_call(const Wire *w)
+is_for_other_call(const Conn *w)
 {
     const HtCall *call = w->call;
     if (!call->match_name) {
@@ -139,7 +140,7 @@
 }
 
 static void
-learn_keep_time(Wire *w)
+read_keep_alive(Conn *w)
 {
     const char *keep = ht_find_header(&w->msg.head, "Keep-Alive");
     const char *timeout = keep ? strstr(keep, "timeout=") : NULL;
@@ -154,14 +155,14 @@
 static int
 on_answer_head(http_parser *p)
 {
-    Wire *w = p->data;
+    Conn *w = p->data;
     ht_finish_head(&w->msg, p);
-    w->passed_over = p->status_code / 100 == 1 || is_of_other_call(w);
-    if (w->passed_over) {
+    w->skipped = p->status_code / 100 == 1 || is_for_other_call(w);
+    if (w->skipped) {
         w->reusable = w->reusable && p->status_code / 100 == 1;
         return 0;
     }
-    learn_keep_time(w);
+    read_keep_alive(w);
     w->call->handler.on_head(w->call->handler.ctx, w->call, &w->msg.head);
     return w->cancelled ? -1 : 0;
 }
@@ -169,8 +170,8 @@
 static int
 on_answer_body(http_parser *p, const char *at, size_t len)
 {
-    Wire *w = p->data;
-    if (!w->passed_over) {
+    Conn *w = p->data;
+    if (!w->skipped) {
         w->call->handler.on_data(w->call->handler.ctx, w->call, at, len);
     }
     return w->cancelled ? -1 : 0;
@@ -179,8 +180,8 @@
 static int
 on_answer_end(http_parser *p)
 {
-    Wire *w = p->data;
-    if (!w->passed_over) {
+    Conn *w = p->data;
+    if (!w->skipped) {
         w->got_message = true;
         w->reusable = w->reusable && http_should_keep_alive(p);
         http_parser_pause(p, 1);
@@ -198,7 +199,7 @@
 };
 
 static void
-keep_wire(Wire *w)
+make_idle(Conn *w)
 {
     w->got_message = false;
     w->since_ms = bg_boot_ms();
@@ -207,35 +208,35 @@
     ht_free_message(&w->msg);
 }
 
-/* The answer is whole; LEFT bytes came after it and belong to nobody. */
+/* The answer is whole; LEFT unexpected bytes followed it. */
 static void
-finish_answer(Wire *w, size_t left)
+finish_answer(Conn *w, size_t left)
 {
     HtCall *call = w->call;
     bool keep = w->reusable && left == 0 && !call->fresh && w->keep_ms > 0 &&
                 call->sent == call->request->len;
     w->got_message = false;
     if (keep) {
-        keep_wire(w);
+        make_idle(w);
         end_call(w, HT_DONE);
         return;
     }
     w->call = NULL;
-    close_wire(w);
-    call->wire = NULL;
+    close_conn(w);
+    call->conn = NULL;
     call->handler.on_end(call->handler.ctx, call, HT_DONE);
     free_call(call);
 }
 
 static void
-feed_wire(Wire *w, const uint8_t *data, size_t len)
+parse_input(Conn *w, const uint8_t *data, size_t len)
 {
     w->parsing = true;
     size_t used = http_parser_execute(&w->parser, &answer_settings,
                                       (const char *)data, len);
     w->parsing = false;
     if (w->cancelled) {
-        close_wire(w);
+        close_conn(w);
         return;
     }
     enum http_errno e = HTTP_PARSER_ERRNO(&w->parser);
@@ -243,34 +244,34 @@
         finish_answer(w, len - used);
     }
     else if (e != HPE_OK || w->parser.upgrade) {
-        break_wire(w, HT_GARBLED);
+        fail_conn(w, HT_GARBLED);
     }
     else if (len == 0) {
-        break_wire(w, HT_BROKEN);
+        fail_conn(w, HT_BROKEN);
     }
 }
 
 static void
-on_wire_readable(struct ev_loop *loop, ev_io *watch, int events)
+on_readable(struct ev_loop *loop, ev_io *watch, int events)
 {
     (void)loop;
     (void)events;
-    Wire *w = watch->data;
+    Conn *w = watch->data;
     uint8_t buf[HT_READ_BYTES];
     ssize_t n = recv(w->fd, buf, sizeof(buf), 0);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
-    /* A kept connection that says anything is of no more use. */
+    /* An idle connection that sends anything can't be used again. */
     if (n < 0 || !w->call) {
-        break_wire(w, HT_BROKEN);
+        fail_conn(w, HT_BROKEN);
         return;
     }
-    feed_wire(w, buf, (size_t)n);
+    parse_input(w, buf, (size_t)n);
 }
 
 static void
-send_request(Wire *w)
+send_request(Conn *w)
 {
     HtCall *call = w->call;
     while (call->sent < call->request->len) {
@@ -280,7 +281,7 @@
             return;
         }
         if (n < 0 && errno != EINTR) {
-            break_wire(w, HT_BROKEN);
+            fail_conn(w, HT_BROKEN);
             return;
         }
         call->sent += n > 0 ? (size_t)n : 0;
@@ -289,13 +290,13 @@
 }
 
 static void
-on_wire_writable(struct ev_loop *loop, ev_io *watch, int events)
+on_writable(struct ev_loop *loop, ev_io *watch, int events)
 {
     (void)events;
-    Wire *w = watch->data;
+    Conn *w = watch->data;
     if (w->connecting) {
         if (!so_is_connected(w->fd)) {
-            break_wire(w, HT_NOT_SENT);
+            fail_conn(w, HT_NOT_SENT);
             return;
         }
         w->connecting = false;
@@ -308,38 +309,39 @@
     send_request(w);
 }
 
-static Wire *
-open_wire(HtPool *p, const char *address)
+static Conn *
+open_conn(HtPool *p, const char *address)
 {
     int fd = so_connect(address);
     if (fd < 0) {
         return NULL;
     }
-    Wire *w = g_new0(Wire, 1);
+    Conn *w = g_new0(Conn, 1);
     w->pool = p;
     w->address = g_strdup(address);
     w->fd = fd;
     w->connecting = true;
     w->reusable = true;
     w->keep_ms = DEFAULT_KEEP_MS;
-    keep_wire(w);
-    ev_io_init(&w->read_watch, on_wire_readable, fd, EV_READ);
-    ev_io_init(&w->write_watch, on_wire_writable, fd, EV_WRITE);
+    make_idle(w);
+    ev_io_init(&w->read_watch, on_readable, fd, EV_READ);
+    ev_io_init(&w->write_watch, on_writable, fd, EV_WRITE);
     w->read_watch.data = w;
     w->write_watch.data = w;
-    g_queue_push_head(&p->wires, w);
-    w->link = p->wires.head;
+    g_queue_push_head(&p->conns, w);
+    w->link = p->conns.head;
     return w;
 }
 
-/* The kept connection that was used last: it is the likeliest to live. */
-static Wire *
-take_kept(HtPool *p, const HtRequest *req)
+/* The idle connection that was used last, as it is the least likely to have
+   been closed. */
+static Conn *
+take_idle(HtPool *p, const HtRequest *req)
 {
     uint64_t now_ms = bg_boot_ms();
-    Wire *best = NULL;
-    for (GList *l = p->wires.head; l; l = l->next) {
-        Wire *w = l->data;
+    Conn *best = NULL;
+    for (GList *l = p->conns.head; l; l = l->next) {
+        Conn *w = l->data;
         uint64_t idle_ms = now_ms - w->since_ms;
         if (!w->call && !w->connecting && idle_ms < w->keep_ms &&
             (!req->max_idle_ms || idle_ms < req->max_idle_ms) &&
@@ -369,7 +371,7 @@
 {
     HtPool *p = g_new0(HtPool, 1);
     p->loop = loop;
-    g_queue_init(&p->wires);
+    g_queue_init(&p->conns);
     g_queue_init(&p->failed);
     ev_timer_init(&p->fail_timer, on_fail_timer, 0., 0.);
     p->fail_timer.data = p;
@@ -379,9 +381,9 @@
 void
 ht_destroy_pool(HtPool *p)
 {
-    Wire *w;
-    while ((w = g_queue_peek_head(&p->wires))) {
-        break_wire(w, HT_BROKEN);
+    Conn *w;
+    while ((w = g_queue_peek_head(&p->conns))) {
+        fail_conn(w, HT_BROKEN);
     }
     on_fail_timer(p->loop, &p->fail_timer, 0);
     ev_timer_stop(p->loop, &p->fail_timer);
@@ -389,12 +391,12 @@
 }
 
 static void
-attach_call(HtCall *call, Wire *w)
+attach_call(HtCall *call, Conn *w)
 {
-    call->wire = w;
+    call->conn = w;
     w->call = call;
     /* Bytes sent into a connection that the far side has just closed would
-       be lost, so the write waits for the loop to see it writable. */
+       be lost, so the write waits until the loop reports it writable. */
     ev_io_start(w->pool->loop, &w->write_watch);
 }
 
@@ -409,9 +411,9 @@
     call->match_name = g_strdup(req->match_name);
     call->match_value = g_strdup(req->match_value);
     call->fresh = req->fresh;
-    Wire *w = req->fresh ? NULL : take_kept(p, req);
+    Conn *w = req->fresh ? NULL : take_idle(p, req);
     if (!w) {
-        w = open_wire(p, req->address);
+        w = open_conn(p, req->address);
     }
     if (w) {
         attach_call(call, w);
@@ -433,13 +435,13 @@
         free_call(call);
         return;
     }
-    Wire *w = call->wire;
+    Conn *w = call->conn;
     w->call = NULL;
     free_call(call);
     so_reset_on_close(w->fd);
     w->cancelled = true;
     if (!w->parsing) {
-        close_wire(w);
+        close_conn(w);
     } /* else the parser's caller closes it */
 }
 
@@ -449,54 +451,54 @@
     return call->sent > 0;
 }
 
-/* 0 when the time of WIRE is over at NOW_MS. */
+/* 0 when the connection's time is over at NOW_MS. */
 static gint
-compare_overdue(gconstpointer wire, gconstpointer now_ms)
+compare_overdue(gconstpointer conn, gconstpointer now_ms)
 {
-    const Wire *w = wire;
+    const Conn *w = conn;
     uint64_t age_ms = *(const uint64_t *)now_ms - w->since_ms;
     bool overdue = w->call ? w->connecting && age_ms > w->call->connect_ms
                            : age_ms >= w->keep_ms;
     return overdue ? 0 : 1;
 }
 
-static Wire *
+static Conn *
 find_overdue(HtPool *p, uint64_t now_ms)
 {
-    GList *found = g_queue_find_custom(&p->wires, &now_ms, compare_overdue);
+    GList *found = g_queue_find_custom(&p->conns, &now_ms, compare_overdue);
     return found ? found->data : NULL;
 }
 
-/* A handler may open and close connections, so each look begins anew. */
+/* A handler may open and close connections, so each search starts over. */
 void
 ht_tick_pool(HtPool *p, uint64_t now_ms)
 {
-    Wire *w;
+    Conn *w;
     while ((w = find_overdue(p, now_ms))) {
         if (w->call) {
             so_reset_on_close(w->fd);
-            break_wire(w, HT_NOT_SENT);
+            fail_conn(w, HT_NOT_SENT);
         }
         else {
-            close_wire(w);
+            close_conn(w);
         }
     }
 }
 
 void
-ht_drop_kept(HtPool *p, const char *address)
+ht_drop_idle(HtPool *p, const char *address)
 {
     GList *next;
-    for (GList *l = p->wires.head; l; l = next) {
+    for (GList *l = p->conns.head; l; l = next) {
         next = l->next;
-        Wire *w = l->data;
+        Conn *w = l->data;
         if (!w->call && strcmp(w->address, address) == 0) {
-            close_wire(w);
+            close_conn(w);
         }
     }
 }
 
-/* ---- collected calls ---------------------------------------------------- */
+/* ---- ht_fetch ----------------------------------------------------------- */
 
 typedef struct {
     HtCall *call;
--- a/src/ht_server.c
+++ b/src/ht_server.c
@@ -7,11 +7,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define MAX_PIPELINED (256 * 1024) /* bytes held behind an open request */
-/* bytes held behind an open request */
-#define LINGER_MS 1000 /* for the client to take the last answer */
-/* for the client to take the last answer */
-/* no timeout was told */
+#define MAX_PIPELINED_BYTES (256 * 1024) /* read after an open request */
+#define LINGER_MS 1000 /* for the client to read the last answer */
 #define DEFAULT_HEADER_BYTES (64 * 1024)
 #define DEFAULT_BODY_BYTES (64u * 1024 * 1024)
 
@@ -35,15 +32,15 @@
     ev_io write_watch;
     http_parser parser;
     ConnState state;
-    HtExchange *x;      /* being read or answered; NULL: idle */
-    GByteArray *behind; /* bytes that came after the open request */
+    HtExchange *x;         /* being read or answered; NULL: idle */
+    GByteArray *pipelined; /* bytes that followed the open request */
     GByteArray *out;
     size_t out_at;
-    bool close_after;  /* the answer being sent ends the connection */
-    bool answer_ended; /* close_after: all of it is in OUT */
-    uint16_t refuse;   /* status for what broke the limits; 0: none */
-    uint64_t since_ms; /* of the current state */
-    GList *link;       /* in the server's connections */
+    bool close_after;       /* the answer being sent ends the connection */
+    bool answer_ended;      /* with close_after: OUT has all of the answer */
+    uint16_t refuse_status; /* a limit was exceeded; 0: none was */
+    uint64_t since_ms;      /* of the current state */
+    GList *link;            /* in the server's connections */
 };
 
 struct HtServer {
@@ -73,7 +70,7 @@
     ev_io_stop(c->server->loop, &c->write_watch);
     close(c->fd);
     g_queue_delete_link(&c->server->conns, c->link);
-    g_byte_array_free(c->behind, TRUE);
+    g_byte_array_free(c->pipelined, TRUE);
     g_byte_array_free(c->out, TRUE);
     if (x) {
         if (c->state == CONN_BUSY) {
@@ -140,9 +137,10 @@
 static int
 check_header_bytes(HtConn *c)
 {
-    uint32_t most = c->server->limits.header_bytes;
-    if (c->x->msg.header_bytes > (most ? most : DEFAULT_HEADER_BYTES)) {
-        c->refuse = 431;
+    uint32_t max_bytes = c->server->limits.header_bytes;
+    if (c->x->msg.header_bytes >
+        (max_bytes ? max_bytes : DEFAULT_HEADER_BYTES)) {
+        c->refuse_status = 431;
         return 1;
     }
     return 0;
@@ -169,10 +167,10 @@
 {
     HtConn *c = p->data;
     ht_finish_head(&c->x->msg, p);
-    uint32_t most = c->server->limits.body_bytes;
+    uint32_t max_bytes = c->server->limits.body_bytes;
     if (p->content_length != ULLONG_MAX &&
-        p->content_length > (most ? most : DEFAULT_BODY_BYTES)) {
-        c->refuse = 413;
+        p->content_length > (max_bytes ? max_bytes : DEFAULT_BODY_BYTES)) {
+        c->refuse_status = 413;
         return 1;
     }
     const char *expect = ht_find_header(&c->x->msg.head, "Expect");
@@ -188,9 +186,9 @@
 on_request_body(http_parser *p, const char *at, size_t len)
 {
     HtConn *c = p->data;
-    uint32_t most = c->server->limits.body_bytes;
-    if (c->x->body->len + len > (most ? most : DEFAULT_BODY_BYTES)) {
-        c->refuse = 413;
+    uint32_t max_bytes = c->server->limits.body_bytes;
+    if (c->x->body->len + len > (max_bytes ? max_bytes : DEFAULT_BODY_BYTES)) {
+        c->refuse_status = 413;
         return 1;
     }
     g_byte_array_append(c->x->body, (const guint8 *)at, (guint)len);
@@ -214,9 +212,9 @@
     .on_message_complete = on_request_end,
 };
 
-/* A request that can't be taken: answered and the connection ended. */
+/* The request is invalid or too large: answer it and close the connection. */
 static void
-refuse_unreadable(HtConn *c)
+refuse_request(HtConn *c)
 {
     if (!c->x) {
         close_conn(c);
@@ -224,7 +222,7 @@
     }
     c->state = CONN_BUSY;
     c->close_after = true;
-    ht_start_answer(c->x, c->refuse ? c->refuse : 400, "", 0);
+    ht_start_answer(c->x, c->refuse_status ? c->refuse_status : 400, "", 0);
     ht_end_answer(c->x);
 }
 
@@ -235,13 +233,13 @@
                                       (const char *)data, len);
     enum http_errno e = HTTP_PARSER_ERRNO(&c->parser);
     if (e == HPE_PAUSED) {
-        g_byte_array_append(c->behind, data + used, (guint)(len - used));
+        g_byte_array_append(c->pipelined, data + used, (guint)(len - used));
         c->state = CONN_BUSY;
         c->close_after = !c->x->msg.head.keeps_alive || c->server->closing;
         c->server->handler.on_request(c->server->handler.ctx, c->x);
     }
     else if (e != HPE_OK || c->parser.upgrade) {
-        refuse_unreadable(c);
+        refuse_request(c);
     }
 }
 
@@ -263,8 +261,8 @@
         return;
     }
     if (c->state == CONN_BUSY) {
-        g_byte_array_append(c->behind, buf, (guint)n);
-        if (c->behind->len > MAX_PIPELINED) {
+        g_byte_array_append(c->pipelined, buf, (guint)n);
+        if (c->pipelined->len > MAX_PIPELINED_BYTES) {
             ev_io_stop(loop, &c->read_watch);
         }
         return;
@@ -293,7 +291,7 @@
     HtConn *c = g_new0(HtConn, 1);
     c->server = s;
     c->fd = fd;
-    c->behind = g_byte_array_new();
+    c->pipelined = g_byte_array_new();
     c->out = g_byte_array_new();
     c->since_ms = bg_boot_ms();
     start_parser(c);
@@ -356,7 +354,7 @@
 }
 
 void
-ht_close_kept(HtServer *s)
+ht_stop_keep_alive(HtServer *s)
 {
     s->closing = true;
     for (GList *l = s->conns.head; l; l = l->next) {
@@ -365,8 +363,8 @@
     }
 }
 
-/* At a stop a kept connection ends when it has been idle for this long: a
-   request that was sent just before is still read and answered. */
+/* When the server stops, connections are closed only after this idle time, so
+   that a request sent just before is still read and answered. */
 #define STOP_IDLE_MS 1500
 
 static bool
@@ -478,8 +476,8 @@
     g_byte_array_append(c->out, (const guint8 *)head->str, (guint)head->len);
 }
 
-/* Output is sent when the loop comes round, so that a head and its body
-   leave in one packet. */
+/* Output is sent from the event loop, so that a head and its body leave in one
+   packet. */
 static void
 schedule_flush(HtConn *c)
 {
@@ -518,20 +516,20 @@
         start_parser(c);
         ev_io_start(c->server->loop, &c->read_watch);
     }
-    if (!flush_conn(c) || c->close_after || c->behind->len == 0) {
+    if (!flush_conn(c) || c->close_after || c->pipelined->len == 0) {
         return;
     }
-    GByteArray *behind = c->behind;
-    c->behind = g_byte_array_new();
-    feed_conn(c, behind->data, behind->len);
-    g_byte_array_free(behind, TRUE);
+    GByteArray *pipelined = c->pipelined;
+    c->pipelined = g_byte_array_new();
+    feed_conn(c, pipelined->data, pipelined->len);
+    g_byte_array_free(pipelined, TRUE);
 }
 
 void
 ht_abort_answer(HtExchange *x)
 {
     HtConn *c = x->conn;
-    c->state = CONN_READING; /* whoever aborts knows that it is gone */
+    c->state = CONN_READING; /* close_conn won't call on_gone */
     if (flush_conn(c)) {
         close_conn(c);
     }
