--- a/src/bg_base.c
+++ b/src/bg_base.c
@@ -38,7 +38,7 @@
 }
 
 void
-bg_log(BgLevel level, const char *part, const char *fmt, ...)
+bg_log(BgLevel level, const char *module, const char *fmt, ...)
 {
     if ((int)level < atomic_load(&log_level)) {
         return;
@@ -54,9 +54,9 @@
     gmtime_r(&ts.tv_sec, &tm);
     char stamp[32];
     strftime(stamp, sizeof(stamp), "%Y-%m-%dT%H:%M:%S", &tm);
-    /* One call, so that lines of several threads do not mix. */
+    /* One call, so that lines of several threads do not interleave. */
     fprintf(stderr, "%s.%03ldZ %-5s %s: %s\n", stamp, ts.tv_nsec / 1000000,
-            level_names[level], part, text);
+            level_names[level], module, text);
 }
 
 /* ---- clock and ids ------------------------------------------------------ */
@@ -115,7 +115,7 @@
 bg_make_id(char id[BG_ID_LEN + 1])
 {
     uint8_t raw[BG_ID_LEN / 2];
-    /* Ids decide who won a race; without entropy there is no safe answer. */
+    /* Ids decide who won a race, so a weaker source is not safe here. */
     if (getrandom(raw, sizeof(raw), 0) != (ssize_t)sizeof(raw)) {
         g_error("base: no random bytes");
     }
--- a/src/bg_base.h
+++ b/src/bg_base.h
@@ -1,5 +1,5 @@
-/* bg_base: what every part uses: logger, clock, ids, growing buffers,
-   digests and the GError domain. */
+/* bg_base: used by all modules: the GError domain, logger, clocks, ids,
+   digests, random numbers and counters. */
 #ifndef BG_BASE_H
 #define BG_BASE_H
 
@@ -13,37 +13,38 @@
 #define BG_ID_LEN 32 /* hex digits of a random id */
 
 /* ---- errors -------------------------------------------------------------
-   Codes of the BG_ERROR domain.  BG_ERR_UNKNOWN: the call may have had its
-   effect; everything else: it had none. */
+   Codes of the BG_ERROR domain.  After BG_ERR_UNKNOWN the call may have had
+   its effect; after all others it had none. */
 typedef enum {
-    BG_ERR_INVALID,  /* a text, setting or message breaks its rules */
-    BG_ERR_CONFLICT, /* the base version was not current */
-    BG_ERR_AWAY,     /* the other side could not be reached */
-    BG_ERR_UNKNOWN,  /* sent, but the acknowledgement is missing */
-    BG_ERR_TRIMMED,  /* the log no longer keeps that offset */
-    BG_ERR_FORMAT,   /* truncated, corrupt or from a broken writer */
-    BG_ERR_FULL,     /* a bounded queue or table has no room */
-    BG_ERR_NEWER     /* whole, but of a newer format */
+    BG_ERR_INVALID,     /* a text, setting or message breaks its rules */
+    BG_ERR_CONFLICT,    /* the base version was not current */
+    BG_ERR_UNREACHABLE, /* the peer could not be reached */
+    BG_ERR_UNKNOWN,     /* sent, but the acknowledgement is missing */
+    BG_ERR_TRIMMED,     /* the log no longer keeps that offset */
+    BG_ERR_FORMAT,      /* truncated, corrupt or otherwise malformed */
+    BG_ERR_FULL,        /* a bounded queue or table has no room */
+    BG_ERR_NEWER        /* valid, but of a newer format */
 } BgErrorCode;
 
 #define BG_ERROR bg_error_quark()
 GQuark bg_error_quark(void);
 
 /* ---- logger -------------------------------------------------------------
-   One line a message: time, level, part, text.  Thread-safe. */
+   Writes a line to standard error: time, level, module, text.
+   Thread-safe. */
 typedef enum { BG_DEBUG, BG_INFO, BG_WARN, BG_FAULT } BgLevel;
 
 void bg_set_log_level(BgLevel level);
 bool bg_parse_log_level(const char *text, BgLevel *level);
-void bg_log(BgLevel level, const char *part, const char *fmt, ...)
+void bg_log(BgLevel level, const char *module, const char *fmt, ...)
     G_GNUC_PRINTF(3, 4);
 
 /* ---- clock and ids ------------------------------------------------------ */
 uint64_t bg_now_ms(void);  /* monotonic, milliseconds */
 uint64_t bg_now_us(void);  /* monotonic, microseconds */
 uint64_t bg_wall_ms(void); /* since the epoch, milliseconds */
-/* Like bg_now_ms, but a suspension of the VM counts: for leases and
-   deadlines, which go on while the VM sleeps. */
+/* Like bg_now_ms, but includes the time that the VM is suspended: for leases
+   and deadlines, which expire meanwhile. */
 uint64_t bg_boot_ms(void);
 void bg_sleep_ms(uint32_t wait_ms);
 
@@ -60,7 +61,7 @@
 /* The same as 64 hex digits; free with g_free. */
 char *bg_digest_hex(const void *data, size_t len);
 
-/* ---- small random source for decisions, seedable ------------------------ */
+/* ---- random numbers, seedable, not for ids or keys ---------------------- */
 typedef struct {
     uint64_t state;
 } BgRandom;
@@ -71,8 +72,8 @@
 uint32_t bg_pick_random(BgRandom *rng, uint32_t bound);
 
 /* ---- counters ----------------------------------------------------------- */
-/* Process-wide named counters, printed at /metrics in the text format.
-   NAME must be a string literal that outlives the process. */
+/* Process-wide named counters and gauges, printed at /metrics in the
+   Prometheus text format.  NAME must be a string literal. */
 void bg_count(const char *name, uint64_t add);
 void bg_gauge(const char *name, uint64_t value);
 void bg_print_metrics(GString *out);
--- a/src/ini.c
+++ b/src/ini.c
@@ -189,7 +189,7 @@
 {
     g_autofree char *full = join_key(sec, key);
     const char *value = g_hash_table_lookup(f->values, full);
-    /* Only a key that is missing from the schema gets here as NULL. */
+    /* ini_load filled in all keys of the schema. */
     g_assert(value != NULL);
     return value;
 }
--- a/src/ini.h
+++ b/src/ini.h
@@ -1,6 +1,6 @@
-/* ini: settings files, checked in full.  A schema names every section and
-   key with its type and range; a file is taken whole or not at all, and
-   every fault is listed as "FILE: [SECTION] KEY: what is wrong". */
+/* ini: settings files.  A schema lists every section and key with its type and
+   range.  A file with any fault is rejected, and every fault is listed as
+   "FILE: [SECTION] KEY: what is wrong". */
 #ifndef INI_H
 #define INI_H
 
@@ -29,21 +29,20 @@
 
 typedef struct IniFile IniFile;
 
-/* Read PATH and check it against RULES (ended by a NULL section).  All
-   faults, one a line, go to FAULTS; returns NULL if there was any.  An
-   optional key with an empty value counts as left out: a template that has
-   nothing to fill in leaves it so. */
+/* Read PATH and check it against RULES (ended by a NULL section).  Faults are
+   appended to FAULTS, one a line; returns NULL if there was any.  An optional
+   key with an empty value counts as missing, because templates leave a key
+   empty when they have no value for it. */
 IniFile *ini_load(const char *path, const IniRule *rules, GString *faults);
 void ini_destroy(IniFile *f);
 
-/* Values of keys the schema has; fallbacks are filled in.  Text is owned
-   by the file. */
+/* The value of a key of the schema, or its fallback.  F owns the text. */
 const char *ini_get_text(const IniFile *f, const char *sec, const char *key);
 int64_t ini_get_int(const IniFile *f, const char *sec, const char *key);
 double ini_get_number(const IniFile *f, const char *sec, const char *key);
 bool ini_get_bool(const IniFile *f, const char *sec, const char *key);
 
-/* NULL when VALUE keeps RULE, else what is wrong; free with g_free. */
+/* NULL if VALUE conforms to RULE, else what is wrong; free with g_free. */
 char *ini_check_value(const IniRule *rule, const char *value);
 /* The rule of SEC and KEY (any rule of SEC when KEY is NULL), or NULL. */
 const IniRule *ini_find_rule(const IniRule *rules, const char *sec,
--- a/src/jl.c
+++ b/src/jl.c
@@ -28,23 +28,23 @@
     while (at < s->len) {
         ssize_t n = write(STDOUT_FILENO, s->str + at, s->len - at);
         if (n < 0 && errno != EINTR) {
-            return; /* nobody reads any more: there is nowhere to say so */
+            return; /* standard output is closed: no place to report it */
         }
         at += n > 0 ? (size_t)n : 0;
     }
 }
 
 static void
-write_dropped(uint64_t *told)
+write_dropped(uint64_t *reported)
 {
     uint64_t now = atomic_load(&dropped);
-    if (now == *told) {
+    if (now == *reported) {
         return;
     }
     g_autoptr(GString) s = g_string_new(NULL);
     g_string_printf(s, "{\"event\":\"log-dropped\",\"lines\":%llu}\n",
-                    (unsigned long long)(now - *told));
-    *told = now;
+                    (unsigned long long)(now - *reported));
+    *reported = now;
     write_all(s);
 }
 
@@ -52,13 +52,13 @@
 run_writer(void *arg)
 {
     (void)arg;
-    uint64_t told = 0;
+    uint64_t reported = 0;
     for (;;) {
         GString *s = ring_pop(ring, 10000);
         if (s) {
             write_all(s);
             g_string_free(s, TRUE);
-            write_dropped(&told);
+            write_dropped(&reported);
         }
         else if (atomic_load(&stopping)) {
             return NULL;
@@ -93,7 +93,7 @@
         until.tv_sec++;
         until.tv_nsec -= 1000000000;
     }
-    /* The process ends next; a writer that is stuck ends with it. */
+    /* The process exits next, which ends a writer that is blocked. */
     pthread_timedjoin_np(writer, NULL, &until);
 }
 
