--- a/tests/unit_base.c
+++ b/tests/unit_base.c
@@ -1,4 +1,4 @@
-/* Unit tests of the small parts: rings, JSON bounds, batches, templates. */
+/* Unit tests of small modules: rings, JSON bounds, batches, templates. */
 #include "bg_base.h"
 #include "cfg.h"
 #include "js.h"
@@ -73,8 +73,8 @@
     return rec_encode_batch(id, &list, 1, len);
 }
 
-/* Every byte of an entry matters: with any one of them changed, or with
-   any tail missing, it must not decode to something else. */
+/* A batch with any byte changed, or truncated anywhere, must be refused rather
+   than decoded to something else. */
 static void
 test_batch_with_a_wrong_byte_is_refused(void)
 {
