--- a/src/gn.h
+++ b/src/gn.h
@@ -2,7 +2,7 @@
    rb, wl) to the store, the upstreams and the other gateways:
      gn_store      configuration and upstream entries read from the store
      gn_lease      reads and appends of the lease record
-     gn_set_placement      orders to upstreams and their reports
+     gn_place      orders to upstreams and their reports
      gn_links      frames sent to and received from other gateways
      gn_demand     demand of callers, aggregated towards the leader
      gn_placed     changes of what each upstream holds
@@ -30,10 +30,10 @@
 #include "ut.h"
 #include "wl.h"
 
-/* The append of the lease record that is in flight. */
+/* The last append to the lease topic. */
 typedef struct {
     uint64_t id;
-    bool out;        /* in flight */
+    bool out;        /* not answered yet */
     bool relayed;    /* linked gateways were asked to append it as well */
     bool own_failed; /* the store refused our append or did not answer it */
     StEnd own_result;
@@ -167,7 +167,7 @@
 /* Append for the VM that we are linked to. */
 void gn_relay_lease(Gateway *g, const Gwp__LeaseAppend *a);
 
-/* gn_set_placement */
+/* gn_place */
 void gn_on_place_timer(struct ev_loop *loop, ev_timer *t, int events);
 void gn_on_placed(void *ctx, const char *upstream, const GPtrArray *models);
 void gn_on_unreachable(void *ctx, const char *upstream);
@@ -189,7 +189,7 @@
 void gn_send_demand(Gateway *g);
 /* Hand the changes of demand to placement. */
 void gn_update_placement(Gateway *g, uint64_t now_ms);
-void gn_watch_mail(Gateway *g, bool places);
+void gn_watch_mail(Gateway *g, bool is_leader);
 /* Read the mailbox more often while LINKED gateways are fewer than KNOWN. */
 void gn_set_mail_interval(Gateway *g, uint32_t linked, uint32_t known);
 /* VM was heard from. */
--- a/src/gn_demand.c
+++ b/src/gn_demand.c
@@ -150,13 +150,13 @@
 }
 
 void
-gn_watch_mail(Gateway *g, bool places)
+gn_watch_mail(Gateway *g, bool is_leader)
 {
-    if (!places && g->mail_watch) {
+    if (!is_leader && g->mail_watch) {
         st_destroy_watch(g->mail_watch);
         g->mail_watch = NULL;
     }
-    else if (places && !g->mail_watch) {
+    else if (is_leader && !g->mail_watch) {
         StWatchParams mail = {ST_MAIL, "mail", 0, MAIL_SHORT_READ_INTERVAL_MS};
         StWatchHandler on_mail = {g, on_mail_records, on_mail_reach};
         g->mail_watch = st_create_watch(g->loop, g->store, &mail, &on_mail);
@@ -165,21 +165,22 @@
 }
 
 static void
-on_mail_left(void *ctx, const StReply *reply)
+on_mail_appended(void *ctx, const StReply *reply)
 {
     (void)ctx;
     (void)reply; /* a lost message is followed by the next */
 }
 
 static void
-leave_mail(Gateway *g, const Gwp__Frame *f)
+append_mail(Gateway *g, const Gwp__Frame *f)
 {
     size_t len = gwp__frame__get_packed_size(f);
     g_autofree uint8_t *bytes = g_malloc(len + 1);
     gwp__frame__pack(f, bytes);
     g->mail_ms = bg_boot_ms();
     g->store->ops->append(g->store, ST_MAIL, ST_ANY_TAIL,
-                          gn_get_text(g, "name"), bytes, len, on_mail_left, g);
+                          gn_get_text(g, "name"), bytes, len, on_mail_appended,
+                          g);
 }
 
 /* ---- demand sent -------------------------------------------------------- */
@@ -308,7 +309,7 @@
         lk_send_up(g->links, &f);
     }
     else {
-        leave_mail(g, &f);
+        append_mail(g, &f);
     }
     clear_lists(&lists);
 }
--- a/src/gn_links.c
+++ b/src/gn_links.c
@@ -390,10 +390,10 @@
     if (!wl_has_limits(g->limits)) {
         return;
     }
-    bool knows = g->is_leader || gn_still_aggregates(g);
+    bool counts = g->is_leader || gn_still_aggregates(g);
     uint32_t reported = g->fleet ? g->fleet : ls_get_fleet(g->lease);
     wl_on_fleet(g->limits, now_ms, g->is_leader, gn_count_linked(g) + 1,
-                knows ? gn_count_members(g, now_ms) : reported);
+                counts ? gn_count_members(g, now_ms) : reported);
     ls_set_fleet(g->lease, wl_get_fleet(g->limits));
 }
 
--- a/src/gn_store.c
+++ b/src/gn_store.c
@@ -330,7 +330,8 @@
     bool isolated =
         !updated && now_ms >= g->uplink.lost_ms + g->uplink.store_delay_ms;
     bool behind = g->behind_ms && now_ms > g->behind_ms + BEHIND_MS;
-    /* For this long only if the gateway that we link to lacks them too. */
+    /* Still missing after START_TIMEOUT_MS: the gateway that we link to has
+       them neither. */
     bool lacks = !g->config || !gn_knows_upstreams(g);
     bool overdue = lacks && now_ms >= g->start_ms + START_TIMEOUT_MS;
     bool held_open = direct && updated && !g->is_leader && !behind;
--- a/src/ht.h
+++ b/src/ht.h
@@ -57,8 +57,7 @@
                     const HtHandler *handler, GError **err);
 void ht_destroy_server(HtServer *s);
 void ht_set_limits(HtServer *s, const HtLimits *limits);
-/* From now on connections are closed after their answer, and idle ones soon.
- */
+/* From now on close connections after their answer, and idle ones soon. */
 void ht_stop_keep_alive(HtServer *s);
 /* Closes connections that were idle or slow for too long; call about every
    100 ms. */
--- a/src/lk.c
+++ b/src/lk.c
@@ -8,16 +8,15 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define MAX_FRAME_BYTES                                                       \
-    (8 * 1024 * 1024) /* all upstreams of a large fleet                       \
-                       */
+/* Enough for all upstreams of a large fleet. */
+#define MAX_FRAME_BYTES (8 * 1024 * 1024)
 /* Output queued for a peer that does not read; more closes its link. */
 #define MAX_UNSENT_BYTES (16 * 1024 * 1024)
 #define CONNECT_TIMEOUT_MS 400
 /* The jitter spreads the members of a lost relay. */
 #define RECONNECT_MS 100
 #define RECONNECT_JITTER_MS 100
-#define HEAD_BYTES 4
+#define HEAD_BYTES 4 /* length prefix of a frame */
 
 struct LkPeer {
     Lk *links;
