--- a/src/gateway.pb-c.h
+++ b/src/gateway.pb-c.h
@@ -50,6 +50,9 @@
 
 /* --- messages --- */
 
+/*
+ * The first frame on a link, of the gateway that opened it.
+ */
 struct  Gwp__Hello
 {
   ProtobufCMessage base;
@@ -65,11 +68,11 @@
    */
   uint32_t fitness;
   /*
-   * relay that it could not reach; empty: none
+   * relay that it left as unreachable; empty: none
    */
   char *shunned;
   /*
-   * that it has; 0: none
+   * in force there; 0: none
    */
   uint64_t config_version;
 };
@@ -79,8 +82,8 @@
 
 
 /*
- * The receiver is to link to the gateway at ADDRESS, a relay of its data
- * centre; empty: to the placing VM.
+ * The receiver must link to the gateway at ADDRESS, a relay of its data
+ * centre; empty: to the leader.
  */
 struct  Gwp__Assign
 {
@@ -105,10 +108,10 @@
    */
   protobuf_c_boolean leaving;
   /*
-   * or is told late itself
+   * or the leader's frames reach it late
    */
   /*
-   * it knows the upstreams' entries of now
+   * it has current upstream entries from the store
    */
   protobuf_c_boolean reads_store;
   uint64_t config_version;
@@ -119,7 +122,7 @@
 
 
 /*
- * Who places, as far as a relay knows.
+ * The leader, as far as the sender knows.
  */
 struct  Gwp__Holder
 {
@@ -129,7 +132,7 @@
    */
   char *address;
   /*
-   * it neither hears the placing VM nor reads the store
+   * the sender neither hears the leader nor reads the
    */
   protobuf_c_boolean blind;
 };
@@ -139,8 +142,8 @@
 
 
 /*
- * The receiver told of a newer configuration: the sender has no other way to
- * it.
+ * The receiver reported a newer configuration than the sender has: it must
+ * send it as a Config frame.
  */
 struct  Gwp__ConfigWanted
 {
@@ -151,6 +154,9 @@
      }
 
 
+/*
+ * Demand for a model or for one of its adapters.
+ */
 struct  Gwp__Want
 {
   ProtobufCMessage base;
@@ -159,6 +165,9 @@
    * empty: the model itself
    */
   char *adapter;
+  /*
+   * queued requests
+   */
   uint32_t waiting;
   uint32_t running;
   /*
@@ -166,11 +175,11 @@
    */
   uint32_t arrived;
   /*
-   * of these, as too many wait already
+   * of these, as the queue is full
    */
   uint32_t refused;
   /*
-   * of these, that are late after a load from a disk
+   * of these, that would be late after a load from disk
    */
   uint32_t hurried;
 };
@@ -190,11 +199,11 @@
   char *adapter;
   uint32_t running;
   /*
-   * of these, whose answer has not begun
+   * of these, without a first byte of the answer
    */
   uint32_t queued;
   /*
-   * of these, that are about to come late
+   * of these, about to be late
    */
   uint32_t slow;
 };
@@ -218,15 +227,15 @@
 
 
 /*
- * What callers of a workspace asked for since the last frame, and what was let
- * in, in the unit of its limit.
+ * What callers of a workspace asked for since the last frame, and what was
+ * admitted, in the unit of its limit (tokens or requests).
  */
 struct  Gwp__Spent
 {
   ProtobufCMessage base;
   char *workspace;
   /*
-   * below 0: more was given back
+   * admitted; below 0: more was given back
    */
   double spent;
   double asked;
@@ -237,14 +246,14 @@
 
 
 /*
- * What is left of the limit of a workspace that comes near it.
+ * What is left of the limit of a workspace that is near it.
  */
 struct  Gwp__Level
 {
   ProtobufCMessage base;
   char *workspace;
   /*
-   * below 0: in debt
+   * of the bucket; below 0: in debt
    */
   double level;
   /*
@@ -258,7 +267,8 @@
 
 
 /*
- * Of the sender, to gateways that it sums for: all levels that matter.
+ * From an aggregator to its gateways: the levels of all workspaces near their
+ * limit.
  */
 struct  Gwp__Limits
 {
@@ -266,7 +276,7 @@
   size_t n_levels;
   Gwp__Level **levels;
   /*
-   * of the limits, that the levels are of
+   * part of the limits that the levels refer to
    */
   double share;
 };
@@ -276,8 +286,8 @@
 
 
 /*
- * A gateway's wants and uses that changed since its last frame; also its
- * heartbeat.
+ * The demand and the requests on upstreams that changed since the last frame,
+ * of the sender and its members; also its heartbeat.
  */
 struct  Gwp__Demand
 {
@@ -289,7 +299,7 @@
   size_t n_began;
   Gwp__Began **began;
   /*
-   * all there is: a row that is left out is zero
+   * not a delta: a row that is missing is zero
    */
   protobuf_c_boolean whole;
   size_t n_spent;
@@ -300,6 +310,9 @@
     , 0,NULL, 0,NULL, 0,NULL, 0, 0,NULL }
 
 
+/*
+ * A model that an upstream holds, with its loaded adapters.
+ */
 struct  Gwp__Resident
 {
   ProtobufCMessage base;
@@ -313,8 +326,8 @@
 
 
 /*
- * What the placing VM knows that one upstream holds: the models that changed,
- * and those that it holds no more.
+ * Changes of what one upstream holds, as the leader knows it: the models that
+ * changed, and those that it no longer holds.
  */
 struct  Gwp__Placement
 {
@@ -325,11 +338,11 @@
   size_t n_dropped;
   char **dropped;
   /*
-   * RESIDENTS is all that it holds
+   * RESIDENTS are all models that it holds
    */
   protobuf_c_boolean whole;
   /*
-   * of all that it holds then
+   * of all its models after the change
    */
   uint32_t digest;
 };
@@ -339,7 +352,7 @@
 
 
 /*
- * What the sender knows of the upstream differs from what it was told.
+ * The digest did not match: the sender needs all models of the upstream.
  */
 struct  Gwp__PlacementWanted
 {
@@ -351,6 +364,9 @@
     , (char *)protobuf_c_empty_string }
 
 
+/*
+ * Estimated wait of a request for a model that has to be loaded.
+ */
 struct  Gwp__Wait
 {
   ProtobufCMessage base;
@@ -363,8 +379,8 @@
 
 
 /*
- * Requests of all gateways that are at upstreams, where they changed; the
- * columns of one table.
+ * Requests of all gateways on each upstream, where they changed; the columns of
+ * one table.
  */
 struct  Gwp__Loads
 {
@@ -377,16 +393,16 @@
   size_t n_running;
   uint32_t *running;
   /*
-   * until one that comes now begins, as estimated
+   * estimated, of a request that arrives now
    */
   size_t n_wait_ms;
   uint32_t *wait_ms;
   /*
-   * an upstream that is left out has none
+   * an upstream that is missing has none
    */
   protobuf_c_boolean whole;
   /*
-   * requests wait there, and no answer begins
+   * requests are queued, and no answer begins
    */
   size_t n_stalled;
   protobuf_c_boolean *stalled;
@@ -397,7 +413,7 @@
 
 
 /*
- * Heartbeat of the placing VM.
+ * Heartbeat of the leader.
  */
 struct  Gwp__State
 {
@@ -407,23 +423,23 @@
   uint32_t gateways;
   uint64_t config_version;
   /*
-   * until its first order; 0: it orders
+   * guard interval until its first order; 0: over
    */
   uint32_t rest_ms;
   /*
-   * loads from the weight store side by side ...
+   * concurrent loads from the weight store, at most
    */
   uint32_t store_at_once;
   /*
-   * ... and the most that came in time; 0: unknown
+   * the most that finished in time; 0: unknown
    */
   uint32_t store_most;
   /*
-   * it knows the upstreams' entries of now
+   * it has current upstream entries from the store
    */
   protobuf_c_boolean reads_store;
   /*
-   * of its links
+   * where its links are
    */
   char *address;
   /*
@@ -435,7 +451,7 @@
    */
   uint64_t sent_ms;
   /*
-   * it lost the lease, and nobody else is known to place
+   * it lost the lease, and no other leader is known
    */
   protobuf_c_boolean idle;
 };
@@ -445,7 +461,7 @@
 
 
 /*
- * What gateways need of an upstream's entry in the store.
+ * The part of an upstream's entry in the store that gateways need.
  */
 struct  Gwp__Upstream
 {
@@ -465,7 +481,7 @@
 
 
 /*
- * Upstreams that are new, others than before or leaving.
+ * Upstreams that are new, replaced or draining, and those that are gone.
  */
 struct  Gwp__Upstreams
 {
@@ -475,7 +491,7 @@
   size_t n_gone;
   char **gone;
   /*
-   * all there are: one that is left out is gone
+   * not a delta: one that is missing is gone
    */
   protobuf_c_boolean whole;
 };
@@ -485,7 +501,7 @@
 
 
 /*
- * The placing VM could not reach these.
+ * Upstreams that the leader found unreachable.
  */
 struct  Gwp__Away
 {
@@ -502,7 +518,7 @@
 {
   ProtobufCMessage base;
   /*
-   * as it stands in the store
+   * the record, as written in the store
    */
   ProtobufCBinaryData written;
 };
@@ -512,7 +528,7 @@
 
 
 /*
- * An upstream's process ended under a request.
+ * An upstream's process died while it served a request.
  */
 struct  Gwp__Death
 {
@@ -539,7 +555,8 @@
 
 
 /*
- * Where a gateway that starts while the store is away may link to.
+ * Answer to a gateway that starts while the store is unreachable: where it may
+ * link to.
  */
 struct  Gwp__Introduction
 {
@@ -552,15 +569,15 @@
 
 
 /*
- * The placing VM can't reach the store: the receiver appends its renewal for
- * it, under the same condition.
+ * The leader got no answer from the store: the receiver appends the renewal of
+ * the lease for it, under the same condition.
  */
 struct  Gwp__LeaseAppend
 {
   ProtobufCMessage base;
   uint64_t id;
   /*
-   * only if nothing was written since
+   * only if the topic's tail is still here
    */
   uint64_t at;
   char *value;
@@ -579,12 +596,12 @@
    */
   uint32_t end;
   /*
-   * of what was appended, or of the newest record
+   * of the record appended, or of the newest one
    */
   uint64_t offset;
   uint64_t tail;
   /*
-   * of the newest record, if another was written
+   * of the newest record, if the condition failed
    */
   char *value;
 };
--- a/src/gw.c
+++ b/src/gw.c
@@ -1382,7 +1382,7 @@
         q->retry_counted = true;
         ht_cancel_call(q->hc);
         q->hc = NULL;
-        ht_drop_kept(q->gw->pool, ut_get_address(q->ut));
+        ht_drop_idle(q->gw->pool, ut_get_address(q->ut));
         handle_failure(q, UT_OUTCOME_SILENT, "silent");
     }
 }
