--- a/src/dm.c
+++ b/src/dm.c
@@ -10,7 +10,7 @@
 static void
 free_want(void *p)
 {
-    DmWant *w = p;
+    DmModelDemand *w = p;
     g_free(w->model);
     g_free(w->adapter);
     g_free(w);
@@ -53,10 +53,10 @@
     g_free(d);
 }
 
-DmWant *
-dm_add_want(DmDemand *d, const char *model, const char *adapter)
+DmModelDemand *
+dm_add_model_demand(DmDemand *d, const char *model, const char *adapter)
 {
-    DmWant *w = g_new0(DmWant, 1);
+    DmModelDemand *w = g_new0(DmModelDemand, 1);
     w->model = g_strdup(model);
     w->adapter = g_strdup(adapter);
     g_ptr_array_add(d->wants, w);
@@ -86,7 +86,7 @@
 
 /* ---- the ledger --------------------------------------------------------- */
 
-typedef enum { ROW_WANT, ROW_USE, ROW_BEGAN } RowKind;
+typedef enum { ROW_MODEL, ROW_USE, ROW_BEGAN } RowKind;
 
 /* Waiting and running; or running, queued and slow. */
 #define LEVELS 3
@@ -100,22 +100,22 @@
     char *model;
     char *adapter;
     uint32_t levels[LEVELS];
-    uint32_t told[LEVELS]; /* as last collected */
-    uint32_t flows[FLOWS]; /* since then */
-    uint32_t parts;        /* sources that have a part in it */
-    bool changed;          /* it is in the list of changes */
+    uint32_t told[LEVELS];  /* as last collected */
+    uint32_t flows[FLOWS];  /* since then */
+    uint32_t contributions; /* sources that have a part in it */
+    bool changed;           /* it is in the list of changes */
 } Row;
 
 /* What one source has in a sum. */
 typedef struct {
     uint32_t levels[LEVELS];
-    uint32_t word; /* the last word of the source that named it */
-} Part;
+    uint32_t update; /* the last word of the source that named it */
+} Contribution;
 
 typedef struct {
-    GHashTable *parts; /* Row -> Part */
-    uint64_t said_ms;
-    uint32_t word;
+    GHashTable *contributions; /* Row -> Part */
+    uint64_t last_update_ms;
+    uint32_t update;
     uint32_t waiting; /* callers, of all its wants */
 } Source;
 
@@ -140,7 +140,7 @@
 free_source(void *p)
 {
     Source *s = p;
-    g_hash_table_destroy(s->parts);
+    g_hash_table_destroy(s->contributions);
     g_free(s);
 }
 
@@ -165,7 +165,7 @@
 }
 
 static void
-note_change(Dm *l, Row *r)
+mark_changed(Dm *l, Row *r)
 {
     if (!r->changed) {
         r->changed = true;
@@ -189,28 +189,29 @@
         r->model = g_strdup(model);
         r->adapter = g_strdup(adapter);
         g_hash_table_insert(l->rows, r->key, r);
-        note_change(l, r); /* one that comes to nothing goes again */
+        mark_changed(l, r); /* one that comes to nothing goes again */
     }
     return r;
 }
 
 static void
-change_levels(Dm *l, Source *s, Row *r, Part *p, const uint32_t levels[LEVELS])
+change_levels(Dm *l, Source *s, Row *r, Contribution *p,
+              const uint32_t levels[LEVELS])
 {
-    if (r->kind == ROW_WANT) {
+    if (r->kind == ROW_MODEL) {
         s->waiting += levels[0] - p->levels[0];
     }
     for (int i = 0; i < LEVELS; i++) {
         if (p->levels[i] != levels[i]) {
             r->levels[i] += levels[i] - p->levels[i];
             p->levels[i] = levels[i];
-            note_change(l, r);
+            mark_changed(l, r);
         }
     }
 }
 
 static bool
-is_none(const uint32_t levels[LEVELS])
+is_zero(const uint32_t levels[LEVELS])
 {
     for (int i = 0; i < LEVELS; i++) {
         if (levels[i] > 0) {
@@ -221,44 +222,44 @@
 }
 
 static void
-set_part(Dm *l, Source *s, Row *r, const uint32_t levels[LEVELS])
+set_contribution(Dm *l, Source *s, Row *r, const uint32_t levels[LEVELS])
 {
-    Part *p = g_hash_table_lookup(s->parts, r);
-    if (!p && is_none(levels)) {
+    Contribution *p = g_hash_table_lookup(s->contributions, r);
+    if (!p && is_zero(levels)) {
         return;
     }
     if (!p) {
-        p = g_new0(Part, 1);
-        g_hash_table_insert(s->parts, r, p);
-        r->parts++;
+        p = g_new0(Contribution, 1);
+        g_hash_table_insert(s->contributions, r, p);
+        r->contributions++;
     }
-    p->word = s->word;
+    p->update = s->update;
     change_levels(l, s, r, p, levels);
 }
 
 static void
-drop_part(Dm *l, Source *s, Row *r, Part *p)
+remove_contribution(Dm *l, Source *s, Row *r, Contribution *p)
 {
     static const uint32_t none[LEVELS];
     change_levels(l, s, r, p, none);
-    r->parts--;
-    note_change(l, r); /* it may go */
+    r->contributions--;
+    mark_changed(l, r); /* it may go */
 }
 
 /* Parts without a share go; if WHOLE also those that the last word left
    out. */
 static void
-sweep_parts(Dm *l, Source *s, bool whole)
+sweep_contributions(Dm *l, Source *s, bool whole)
 {
     GHashTableIter it;
     gpointer k;
     gpointer v;
-    g_hash_table_iter_init(&it, s->parts);
+    g_hash_table_iter_init(&it, s->contributions);
     while (g_hash_table_iter_next(&it, &k, &v)) {
-        Part *p = v;
-        bool left_out = whole && p->word != s->word;
-        if (left_out || is_none(p->levels)) {
-            drop_part(l, s, k, p);
+        Contribution *p = v;
+        bool left_out = whole && p->update != s->update;
+        if (left_out || is_zero(p->levels)) {
+            remove_contribution(l, s, k, p);
             g_hash_table_iter_remove(&it);
         }
     }
@@ -269,7 +270,7 @@
 {
     if (count > 0) {
         r->flows[flow] += count;
-        note_change(l, r);
+        mark_changed(l, r);
     }
 }
 
@@ -279,7 +280,7 @@
     Source *s = g_hash_table_lookup(l->sources, name);
     if (!s) {
         s = g_new0(Source, 1);
-        s->parts =
+        s->contributions =
             g_hash_table_new_full(g_direct_hash, g_direct_equal, NULL, g_free);
         g_hash_table_insert(l->sources, g_strdup(name), s);
     }
@@ -287,12 +288,12 @@
 }
 
 static bool
-take_want(Dm *l, Source *s, const DmWant *w)
+apply_model_demand(Dm *l, Source *s, const DmModelDemand *w)
 {
-    Row *r = get_row(l, ROW_WANT, NULL, w->model, w->adapter);
+    Row *r = get_row(l, ROW_MODEL, NULL, w->model, w->adapter);
     uint32_t before = r->levels[0];
     uint32_t levels[LEVELS] = {w->waiting, w->running, 0};
-    set_part(l, s, r, levels);
+    set_contribution(l, s, r, levels);
     add_flow(l, r, 0, w->arrived);
     add_flow(l, r, 1, w->hurried);
     add_flow(l, r, 2, w->refused);
@@ -300,67 +301,68 @@
 }
 
 static void
-take_use(Dm *l, Source *s, const DmUse *u)
+apply_use(Dm *l, Source *s, const DmUse *u)
 {
     Row *r = get_row(l, ROW_USE, u->upstream, u->model, u->adapter);
     uint32_t levels[LEVELS] = {u->running, u->queued, u->slow};
-    set_part(l, s, r, levels);
+    set_contribution(l, s, r, levels);
 }
 
 bool
-dm_take(Dm *l, uint64_t now_ms, const char *source, const DmDemand *d)
+dm_apply(Dm *l, uint64_t now_ms, const char *source, const DmDemand *d)
 {
     Source *s = get_source(l, source);
-    bool more_wait = false;
-    s->said_ms = now_ms;
-    s->word++;
+    bool more_waiting = false;
+    s->last_update_ms = now_ms;
+    s->update++;
     for (guint i = 0; i < d->wants->len; i++) {
-        more_wait = take_want(l, s, d->wants->pdata[i]) || more_wait;
+        more_waiting =
+            apply_model_demand(l, s, d->wants->pdata[i]) || more_waiting;
     }
     for (guint i = 0; i < d->uses->len; i++) {
-        take_use(l, s, d->uses->pdata[i]);
+        apply_use(l, s, d->uses->pdata[i]);
     }
     for (guint i = 0; i < d->began->len; i++) {
         const DmBegan *b = d->began->pdata[i];
         add_flow(l, get_row(l, ROW_BEGAN, b->upstream, NULL, NULL), 0,
                  b->count);
     }
-    sweep_parts(l, s, d->whole);
-    return more_wait;
+    sweep_contributions(l, s, d->whole);
+    return more_waiting;
 }
 
 static void
-drop_parts(Dm *l, Source *s)
+remove_contributions(Dm *l, Source *s)
 {
     GHashTableIter it;
     gpointer k;
     gpointer v;
-    g_hash_table_iter_init(&it, s->parts);
+    g_hash_table_iter_init(&it, s->contributions);
     while (g_hash_table_iter_next(&it, &k, &v)) {
-        drop_part(l, s, k, v);
+        remove_contribution(l, s, k, v);
     }
 }
 
 void
-dm_drop(Dm *l, const char *source)
+dm_remove_source(Dm *l, const char *source)
 {
     Source *s = g_hash_table_lookup(l->sources, source);
     if (s) {
-        drop_parts(l, s);
+        remove_contributions(l, s);
         g_hash_table_remove(l->sources, source);
     }
 }
 
 void
-dm_drop_silent(Dm *l, uint64_t now_ms, uint32_t life_ms)
+dm_expire_sources(Dm *l, uint64_t now_ms, uint32_t life_ms)
 {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, l->sources);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Source *s = v;
-        if (now_ms > s->said_ms + life_ms) {
-            drop_parts(l, s);
+        if (now_ms > s->last_update_ms + life_ms) {
+            remove_contributions(l, s);
             g_hash_table_iter_remove(&it);
         }
     }
@@ -369,10 +371,10 @@
 /* ---- sums that changed -------------------------------------------------- */
 
 static void
-tell_row(DmDemand *d, Row *r)
+add_row(DmDemand *d, Row *r)
 {
-    if (r->kind == ROW_WANT) {
-        DmWant *w = dm_add_want(d, r->model, r->adapter);
+    if (r->kind == ROW_MODEL) {
+        DmModelDemand *w = dm_add_model_demand(d, r->model, r->adapter);
         w->waiting = r->levels[0];
         w->running = r->levels[1];
         w->arrived = r->flows[0];
@@ -402,10 +404,10 @@
 }
 
 static bool
-is_news(const Row *r, bool whole)
+has_update(const Row *r, bool whole)
 {
     if (whole) {
-        return !is_none(r->levels) || has_flow(r);
+        return !is_zero(r->levels) || has_flow(r);
     }
     return memcmp(r->told, r->levels, sizeof(r->told)) != 0 || has_flow(r);
 }
@@ -413,13 +415,13 @@
 static void
 collect_row(Dm *l, DmDemand *d, Row *r)
 {
-    if (is_news(r, d->whole)) {
-        tell_row(d, r);
+    if (has_update(r, d->whole)) {
+        add_row(d, r);
     }
     memcpy(r->told, r->levels, sizeof(r->told));
     memset(r->flows, 0, sizeof(r->flows));
     r->changed = false;
-    if (r->parts == 0) {
+    if (r->contributions == 0) {
         g_hash_table_remove(l->rows, r->key);
     }
 }
@@ -431,7 +433,7 @@
     gpointer v;
     g_hash_table_iter_init(&it, l->rows);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        note_change(l, v);
+        mark_changed(l, v);
     }
 }
 
@@ -450,7 +452,7 @@
 }
 
 bool
-dm_waits(const Dm *l, const char *source)
+dm_has_waiting(const Dm *l, const char *source)
 {
     const Source *s = g_hash_table_lookup(l->sources, source);
     return s && s->waiting > 0;
--- a/src/dm.h
+++ b/src/dm.h
@@ -22,7 +22,7 @@
     uint32_t arrived;
     uint32_t hurried; /* of these, that are late after a load from a disk */
     uint32_t refused; /* of these, as too many wait already */
-} DmWant;
+} DmModelDemand;
 
 /* Requests on one upstream, as they stand. */
 typedef struct {
@@ -44,14 +44,15 @@
 
 typedef struct {
     bool whole;       /* a row that is not named is zero; else unchanged */
-    GPtrArray *wants; /* DmWant */
+    GPtrArray *wants; /* DmModelDemand */
     GPtrArray *uses;  /* DmUse */
     GPtrArray *began; /* DmBegan */
 } DmDemand;
 
 DmDemand *dm_create_demand(bool whole);
 void dm_destroy_demand(DmDemand *d);
-DmWant *dm_add_want(DmDemand *d, const char *model, const char *adapter);
+DmModelDemand *dm_add_model_demand(DmDemand *d, const char *model,
+                                   const char *adapter);
 DmUse *dm_add_use(DmDemand *d, const char *upstream, const char *model,
                   const char *adapter);
 void dm_add_began(DmDemand *d, const char *upstream, uint32_t count);
@@ -61,16 +62,16 @@
 Dm *dm_create(void);
 void dm_destroy(Dm *l);
 /* The word of SOURCE at NOW_MS.  True: more callers wait than before. */
-bool dm_take(Dm *l, uint64_t now_ms, const char *source, const DmDemand *d);
+bool dm_apply(Dm *l, uint64_t now_ms, const char *source, const DmDemand *d);
 /* SOURCE is gone, with all that it wanted and used. */
-void dm_drop(Dm *l, const char *source);
+void dm_remove_source(Dm *l, const char *source);
 /* So are those that said nothing for LIFE_MS. */
-void dm_drop_silent(Dm *l, uint64_t now_ms, uint32_t life_ms);
+void dm_expire_sources(Dm *l, uint64_t now_ms, uint32_t life_ms);
 /* Sums that changed since the last collection, or all of them if WHOLE, and
    what came since then; to be freed by dm_destroy_demand. */
 DmDemand *dm_collect(Dm *l, bool whole);
 /* Callers of SOURCE wait. */
-bool dm_waits(const Dm *l, const char *source);
+bool dm_has_waiting(const Dm *l, const char *source);
 uint32_t dm_count_waiting(const Dm *l);
 uint32_t dm_count_sources(const Dm *l);
 
--- a/src/lag.c
+++ b/src/lag.c
@@ -11,23 +11,22 @@
 }
 
 static void
-turn_window(Lag *l, uint64_t now_ms, int64_t difference_ms)
+start_window(Lag *l, uint64_t now_ms, int64_t difference_ms)
 {
     bool follows = l->window_ms && now_ms < l->window_ms + 2 * WINDOW_MS;
-    l->least_before_ms = follows ? l->least_ms : difference_ms;
-    l->least_ms = difference_ms;
+    l->last_min_ms = follows ? l->min_ms : difference_ms;
+    l->min_ms = difference_ms;
     l->window_ms = now_ms;
 }
 
 uint64_t
-lag_note(Lag *l, uint64_t now_ms, uint64_t sent_ms)
+lag_update(Lag *l, uint64_t now_ms, uint64_t sent_ms)
 {
     int64_t difference_ms = (int64_t)(now_ms - sent_ms);
     if (!l->window_ms || now_ms >= l->window_ms + WINDOW_MS) {
-        turn_window(l, now_ms, difference_ms);
+        start_window(l, now_ms, difference_ms);
     }
-    l->least_ms = MIN(l->least_ms, difference_ms);
-    l->late_ms =
-        (uint64_t)(difference_ms - MIN(l->least_ms, l->least_before_ms));
+    l->min_ms = MIN(l->min_ms, difference_ms);
+    l->late_ms = (uint64_t)(difference_ms - MIN(l->min_ms, l->last_min_ms));
     return l->late_ms;
 }
--- a/src/lag.h
+++ b/src/lag.h
@@ -14,8 +14,8 @@
 typedef struct {
     /* Least difference of the two clocks, of this window and the one before;
        the clocks may drift. */
-    int64_t least_ms;
-    int64_t least_before_ms;
+    int64_t min_ms;
+    int64_t last_min_ms;
     uint64_t window_ms; /* when it began; 0: nothing was heard */
     uint64_t late_ms;   /* the last word */
 } Lag;
@@ -24,6 +24,6 @@
 void lag_reset(Lag *l);
 /* A word that was sent at SENT_MS by the sender's clock is there.  How much
    later it came than those that came soonest, in ms. */
-uint64_t lag_note(Lag *l, uint64_t now_ms, uint64_t sent_ms);
+uint64_t lag_update(Lag *l, uint64_t now_ms, uint64_t sent_ms);
 
 #endif
--- a/src/mp.c
+++ b/src/mp.c
@@ -2,27 +2,29 @@
 
 #include <string.h>
 
-#define TOLD_PAUSE_MS 400 /* between questions about a load that is late */
-#define ADAPTER_LOAD_MS 9 /* 5 to 6.7 ms, and the way of the order */
+#define LATE_LOAD_POLL_MS 400 /* between questions about a load that is late  \
+                               */
+#define ADAPTER_LOAD_MS 9     /* 5 to 6.7 ms, and the way of the order */
 /* A report's numbers are of now, its lists of some 200 ms ago: what it lists
    is believed only when no order was accepted in this time before it. */
 #define REPORT_LAG_MS 450
 /* An entry is written when a load or unload ends, and read so much later at
    most while the store answers. */
 #define ENTRY_LAG_MS 1500
-#define ASK_PAUSE_MS 150
+#define REPORT_INTERVAL_MS 150
 /* Who begins to place knows none: thousands of answers at once would come late
    for a VM with a part of a core, and be taken for upstreams that are away. */
-#define MOST_ASKING 96
-#define MOST_ASK_DOUBLINGS 3
-#define RETRY_PAUSE_MS 25 /* after a conflict with our own running order */
+#define MAX_REPORTS_PENDING 96
+#define MAX_REPORT_BACKOFFS 3
+#define CONFLICT_RETRY_MS 25 /* after a conflict with our own running order   \
+                              */
 /* An unload waits for its runs; a conflict in this time after it says no
    more than that. */
-#define UNLOAD_MS 1200
+#define UNLOAD_DRAIN_MS 1200
 /* Between questions to an upstream whose calls break off. */
-#define SUSPECT_PAUSE_MS 500
+#define SUSPECT_INTERVAL_MS 500
 /* A model that is held and still waited for: what we believe is wrong. */
-#define DOUBT_MS 700
+#define VERIFY_AFTER_MS 700
 
 /* ---- memory ------------------------------------------------------------- */
 
@@ -54,7 +56,7 @@
 
 /* What it holds is no longer listed with its models. */
 static void
-unlist_replicas(Up *u, const GPtrArray *replicas)
+unlink_replicas(Up *u, const GPtrArray *replicas)
 {
     for (guint i = 0; i < replicas->len; i++) {
         g_ptr_array_remove_fast(
@@ -63,7 +65,7 @@
 }
 
 static void
-unlist_copies(Up *u)
+unlink_copies(Up *u)
 {
     for (guint i = 0; i < u->on_disk->len; i++) {
         g_ptr_array_remove_fast(((Model *)u->on_disk->pdata[i])->copies, u);
@@ -78,8 +80,8 @@
 {
     Up *u = p;
     mp_set_goal(u, NULL);
-    unlist_copies(u);
-    unlist_replicas(u, u->replicas);
+    unlink_copies(u);
+    unlink_replicas(u, u->replicas);
     dep_destroy_upstream(u->entry);
     g_ptr_array_free(u->in_memory, TRUE);
     g_ptr_array_free(u->on_disk, TRUE);
@@ -95,15 +97,15 @@
     m->params = *params;
     m->out = *out;
     m->store.at_once = 1;
-    m->good = MP_FIRST_GOOD;
+    m->capacity = MP_INITIAL_CAPACITY;
     m->ups = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_up);
-    m->rooms = g_hash_table_new(g_direct_hash, g_direct_equal);
+    m->reserves = g_hash_table_new(g_direct_hash, g_direct_equal);
     m->models =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_model);
     m->adapters = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-                                        mp_free_wanted_adapter);
-    m->loads =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, mp_free_load);
+                                        mp_free_adapter_demand);
+    m->loads = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+                                     mp_free_upstream_load);
     m->store_starts = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     return m;
 }
@@ -115,7 +117,7 @@
     g_hash_table_destroy(m->adapters);
     g_hash_table_destroy(m->loads);
     g_hash_table_destroy(m->models);
-    g_hash_table_destroy(m->rooms);
+    g_hash_table_destroy(m->reserves);
     g_array_free(m->store_starts, TRUE);
     dep_unref_config(m->config);
     g_free(m);
@@ -148,9 +150,9 @@
         model->holders = g_ptr_array_new();
         model->copies = g_ptr_array_new();
         model->goals = g_ptr_array_new();
-        model->good = m->good;
-        model->summed_ms = m->now_ms;
-        model->judged_ms = m->now_ms;
+        model->capacity = m->capacity;
+        model->integrated_ms = m->now_ms;
+        model->estimated_ms = m->now_ms;
         g_hash_table_insert(m->models, model->name, model);
         if (m->config) {
             find_declaration(m->config, model);
@@ -172,7 +174,7 @@
 
 /* Adapters come and go beside models, up to the most that fit. */
 static uint32_t
-compute_adapter_room_mb(const DepService *s)
+compute_adapter_reserve_mb(const DepService *s)
 {
     uint32_t most = 0;
     GHashTableIter it;
@@ -186,9 +188,9 @@
 }
 
 static uint32_t
-find_room_mb(const Mp *m, const DepService *s)
+find_reserved_mb(const Mp *m, const DepService *s)
 {
-    return GPOINTER_TO_UINT(g_hash_table_lookup(m->rooms, s));
+    return GPOINTER_TO_UINT(g_hash_table_lookup(m->reserves, s));
 }
 
 static void
@@ -198,24 +200,24 @@
         m->config ? g_hash_table_lookup(m->config->services, u->entry->service)
                   : NULL;
     u->service = s && s->has_models ? s : NULL;
-    u->room_mb = u->service ? find_room_mb(m, u->service) : 0;
+    u->reserved_mb = u->service ? find_reserved_mb(m, u->service) : 0;
 }
 
 static void
-compute_rooms(Mp *m)
+compute_reserves(Mp *m)
 {
-    g_hash_table_remove_all(m->rooms);
+    g_hash_table_remove_all(m->reserves);
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->config->services);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        g_hash_table_insert(m->rooms, v,
-                            GUINT_TO_POINTER(compute_adapter_room_mb(v)));
+        g_hash_table_insert(m->reserves, v,
+                            GUINT_TO_POINTER(compute_adapter_reserve_mb(v)));
     }
 }
 
 static void
-list_declared(Mp *m)
+add_declared_models(Mp *m)
 {
     GHashTableIter it;
     gpointer s;
@@ -235,14 +237,14 @@
 {
     DepConfig *former = m->config;
     m->config = dep_ref_config(c);
-    compute_rooms(m);
+    compute_reserves(m);
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->models);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         find_declaration(c, v);
     }
-    list_declared(m);
+    add_declared_models(m);
     g_hash_table_iter_init(&it, m->ups);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         find_service(m, v);
@@ -346,7 +348,7 @@
         is_same_list(u->on_disk, on_disk)) {
         return;
     }
-    unlist_copies(u);
+    unlink_copies(u);
     g_ptr_array_set_size(u->in_memory, 0);
     g_ptr_array_set_size(u->on_disk, 0);
     for (guint i = 0; i < in_memory->len; i++) {
@@ -370,10 +372,10 @@
 }
 
 static void
-distrust(Up *u, uint64_t ask_ms)
+invalidate_content(Up *u, uint64_t ask_ms)
 {
     u->known = false;
-    u->next_ask_ms = MAX(u->next_ask_ms, ask_ms);
+    u->next_report_ms = MAX(u->next_report_ms, ask_ms);
 }
 
 static DepUpstream *
@@ -394,14 +396,14 @@
    list the model: what is loaded from the weight store has no copy there, so
    it wasn't held for long. */
 static void
-finish_told_loads(Mp *m, Up *u, uint64_t now_ms, const DepUpstream *entry)
+finish_reported_loads(Mp *m, Up *u, uint64_t now_ms, const DepUpstream *entry)
 {
     for (guint i = 0; i < entry->models->len; i++) {
         const DepResident *d = entry->models->pdata[i];
         const Model *model = g_hash_table_lookup(m->models, d->name);
         Replica *r = model ? mp_find_replica(u, model) : NULL;
-        if (r && r->ready_ms == WHEN_TOLD) {
-            mp_learn_from_end(m, now_ms, r);
+        if (r && r->ready_ms == WHEN_REPORTED) {
+            mp_on_store_load_end(m, now_ms, r);
             r->ready_ms = now_ms;
             u->busy_until_ms = now_ms;
             u->told = false;
@@ -412,7 +414,7 @@
 /* An order that acted late, of us or of a VM that placed before, shows as
    models that we don't expect there, or miss. */
 static bool
-holds_as_listed(const Mp *m, const Up *u, const DepUpstream *entry)
+matches_entry(const Mp *m, const Up *u, const DepUpstream *entry)
 {
     for (guint i = 0; i < entry->models->len; i++) {
         const DepResident *d = entry->models->pdata[i];
@@ -432,7 +434,7 @@
     u->in_memory = g_ptr_array_new();
     u->on_disk = g_ptr_array_new();
     u->replicas = g_ptr_array_new_with_free_func(free_replica);
-    u->load = mp_get_load(m, entry->id);
+    u->load = mp_get_upstream_load(m, entry->id);
     g_hash_table_insert(m->ups, u->entry->id, u);
     return u;
 }
@@ -454,7 +456,7 @@
     Up *u = g_hash_table_lookup(m->ups, entry->id);
     if (u && (u->entry->born_ms != entry->born_ms ||
               strcmp(u->entry->address, entry->address) != 0)) {
-        mp_on_gone(m, entry->id);
+        mp_on_removed(m, entry->id);
         u = NULL;
     }
     bool is_new = !u;
@@ -469,22 +471,22 @@
     if (is_new) {
         return;
     }
-    finish_told_loads(m, u, now_ms, entry);
+    finish_reported_loads(m, u, now_ms, entry);
     if (u->known &&
         now_ms > MAX(u->changed_ms, u->busy_until_ms) + ENTRY_LAG_MS &&
-        !holds_as_listed(m, u, entry)) {
-        mp_on_suspicion(m, now_ms, entry->id);
+        !matches_entry(m, u, entry)) {
+        mp_on_suspected(m, now_ms, entry->id);
     }
 }
 
 void
-mp_on_gone(Mp *m, const char *id)
+mp_on_removed(Mp *m, const char *id)
 {
     g_hash_table_remove(m->ups, id);
 }
 
 void
-mp_on_leaving(Mp *m, const char *id)
+mp_on_draining(Mp *m, const char *id)
 {
     Up *u = g_hash_table_lookup(m->ups, id);
     if (u) {
@@ -498,21 +500,21 @@
     g_autoptr(GList) known = g_hash_table_get_keys(m->ups);
     for (GList *l = known; l; l = l->next) {
         if (!g_hash_table_contains(ids, l->data)) {
-            mp_on_gone(m, l->data);
+            mp_on_removed(m, l->data);
         }
     }
 }
 
 void
-mp_begin(Mp *m, uint64_t now_ms)
+mp_on_lease_gained(Mp *m, uint64_t now_ms)
 {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->ups);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Up *u = v;
-        u->next_ask_ms = 0;
-        distrust(u, now_ms);
+        u->next_report_ms = 0;
+        invalidate_content(u, now_ms);
         mp_set_goal(u, NULL);
     }
 }
@@ -520,30 +522,30 @@
 /* ---- reports ------------------------------------------------------------ */
 
 static void
-ask(Mp *m, Up *u)
+request_report(Mp *m, Up *u)
 {
-    u->asking = true;
-    m->asking++;
-    m->out.ask(m->out.ctx, u->entry);
+    u->report_pending = true;
+    m->reports_pending++;
+    m->out.request_report(m->out.ctx, u->entry);
 }
 
 /* A crash breaks off many calls at once: one question answers for them all. */
 void
-mp_on_suspicion(Mp *m, uint64_t now_ms, const char *id)
+mp_on_suspected(Mp *m, uint64_t now_ms, const char *id)
 {
     Up *u = g_hash_table_lookup(m->ups, id);
-    if (!u || !u->service || u->asking || u->ordered ||
-        now_ms < u->suspected_ms + SUSPECT_PAUSE_MS) {
+    if (!u || !u->service || u->report_pending || u->ordered ||
+        now_ms < u->suspected_ms + SUSPECT_INTERVAL_MS) {
         return;
     }
     u->suspected_ms = now_ms;
-    ask(m, u);
+    request_report(m, u);
 }
 
 /* What was known of a replica before is kept.  Asking makes it no newer: or
    each report would keep all that is idle there from making room. */
 static void
-carry_over(Replica *r, const GPtrArray *old)
+keep_replica_state(Replica *r, const GPtrArray *old)
 {
     for (guint i = 0; i < old->len; i++) {
         const Replica *o = old->pdata[i];
@@ -556,12 +558,12 @@
 }
 
 static void
-take_resident(Mp *m, Up *u, uint64_t now_ms, const DepResident *d,
-              const GPtrArray *old)
+add_resident(Mp *m, Up *u, uint64_t now_ms, const DepResident *d,
+             const GPtrArray *old)
 {
     Replica *r = add_replica(u, mp_get_model(m, d->name), now_ms);
     r->used_ms = 0;
-    carry_over(r, old);
+    keep_replica_state(r, old);
     for (guint i = 0; i < d->adapters->len; i++) {
         add_adapter(r, d->adapters->pdata[i], now_ms);
     }
@@ -571,24 +573,24 @@
 }
 
 static void
-take_report(Mp *m, Up *u, uint64_t now_ms, const DepUpstream *report)
+apply_report(Mp *m, Up *u, uint64_t now_ms, const DepUpstream *report)
 {
     u->known = true;
     u->told = false;
     u->sequence = report->sequence;
     u->busy_until_ms = 0;
     GPtrArray *old = u->replicas;
-    unlist_replicas(u, old);
+    unlink_replicas(u, old);
     u->replicas = g_ptr_array_new_with_free_func(free_replica);
     for (guint i = 0; i < report->models->len; i++) {
-        take_resident(m, u, now_ms, report->models->pdata[i], old);
+        add_resident(m, u, now_ms, report->models->pdata[i], old);
     }
     g_ptr_array_free(old, TRUE);
     set_copies(m, u, report->in_memory, report->on_disk);
 }
 
 static void
-note_reach(Mp *m, Up *u, bool reached)
+set_reached(Mp *m, Up *u, bool reached)
 {
     if (!reached && !u->unreached) {
         m->out.away(m->out.ctx, u->entry->id);
@@ -599,10 +601,10 @@
 /* One that doesn't answer is asked less often each time, as a crash may keep
    half of all away for seconds; its entry tells when it starts again. */
 static uint64_t
-get_ask_pause_ms(Up *u, bool answered)
+get_report_interval_ms(Up *u, bool answered)
 {
-    u->unanswered = answered ? 0 : u->unanswered + 1;
-    return ASK_PAUSE_MS << MIN(u->unanswered, MOST_ASK_DOUBLINGS);
+    u->missed_reports = answered ? 0 : u->missed_reports + 1;
+    return REPORT_INTERVAL_MS << MIN(u->missed_reports, MAX_REPORT_BACKOFFS);
 }
 
 void
@@ -612,22 +614,22 @@
     if (!u) {
         return;
     }
-    u->asking = false;
-    u->next_ask_ms = now_ms + get_ask_pause_ms(u, report != NULL);
+    u->report_pending = false;
+    u->next_report_ms = now_ms + get_report_interval_ms(u, report != NULL);
     if (!report && !u->unreached) {
         /* Asked again until it answers: its content is another if it has
            restarted. */
-        distrust(u, now_ms);
+        invalidate_content(u, now_ms);
     }
-    note_reach(m, u, report != NULL);
+    set_reached(m, u, report != NULL);
     if (now_ms < u->changed_ms + REPORT_LAG_MS) {
-        u->next_ask_ms = u->changed_ms + REPORT_LAG_MS;
+        u->next_report_ms = u->changed_ms + REPORT_LAG_MS;
         return;
     }
     u->busy = report && report->busy;
     /* While an order is carried out its outcome is not in the models yet. */
     if (u->busy) {
-        u->next_ask_ms = now_ms + TOLD_PAUSE_MS;
+        u->next_report_ms = now_ms + LATE_LOAD_POLL_MS;
     }
     if (!report || report->busy || u->ordered) {
         return;
@@ -636,14 +638,14 @@
                      report->born_ms == u->entry->born_ms;
     /* Reports lag: this one may be from before our last order. */
     if (same_life && report->sequence >= u->sequence) {
-        take_report(m, u, now_ms, report);
+        apply_report(m, u, now_ms, report);
     }
 }
 
 /* ---- answers to orders -------------------------------------------------- */
 
 static void
-note_copies(Up *u, Model *model)
+add_copies(Up *u, Model *model)
 {
     if (!lists_model(u->in_memory, model)) {
         add_copy(u, u->in_memory, model);
@@ -654,7 +656,7 @@
 }
 
 static void
-apply_model_order(Up *u, uint64_t now_ms, double loads_ms)
+apply_model_order(Up *u, uint64_t now_ms, double load_integral_ms)
 {
     Replica *r = mp_find_replica(u, u->order_model);
     if (u->order_unload) {
@@ -672,12 +674,12 @@
     r->ordered_ms = now_ms;
     r->late = false;
     r->expected_ms = now_ms + u->order_load_ms;
-    r->loads_before_ms = loads_ms;
-    r->ready_ms = u->order_from_store ? WHEN_TOLD : r->expected_ms;
+    r->integral_at_start_ms = load_integral_ms;
+    r->ready_ms = u->order_from_store ? WHEN_REPORTED : r->expected_ms;
     r->used_ms = r->expected_ms;
     u->busy_until_ms = r->ready_ms;
-    u->next_ask_ms = r->expected_ms;
-    note_copies(u, u->order_model);
+    u->next_report_ms = r->expected_ms;
+    add_copies(u, u->order_model);
 }
 
 static void
@@ -696,7 +698,7 @@
 
 /* An adapter that no request used was unloaded at once. */
 static void
-drop_adapter(Up *u)
+remove_adapter(Up *u)
 {
     Replica *r = mp_find_replica(u, u->order_model);
     Adapter *a = r ? find_adapter(r, u->order_adapter) : NULL;
@@ -714,7 +716,7 @@
         apply_adapter_order(u, now_ms);
     }
     else {
-        apply_model_order(u, now_ms, m->loads_ms);
+        apply_model_order(u, now_ms, m->load_integral_ms);
     }
     u->told = false;
 }
@@ -722,7 +724,7 @@
 /* The unload that took it out of use was not accepted, as far as is known:
    left out of use it would be missed by callers and not be loaded again. */
 static void
-keep_replica(Up *u)
+cancel_unload(Up *u)
 {
     Replica *r = mp_find_replica(u, u->order_model);
     if (r) {
@@ -732,7 +734,7 @@
 }
 
 static void
-note_taken(const Mp *m, Up *u, uint64_t now_ms)
+on_accepted(const Mp *m, Up *u, uint64_t now_ms)
 {
     u->sequence++;
     u->changed_ms = now_ms;
@@ -741,63 +743,63 @@
         mp_set_goal(u, NULL);
     }
     else if (u->order_adapter && u->order_unload) {
-        distrust(u, now_ms + REPORT_LAG_MS);
+        invalidate_content(u, now_ms + REPORT_LAG_MS);
     }
 }
 
 static void
-note_holds(const Mp *m, Up *u, uint64_t now_ms)
+on_no_change(const Mp *m, Up *u, uint64_t now_ms)
 {
     u->changed_ms = now_ms;
     if (u->order_adapter && u->order_unload) {
-        drop_adapter(u);
+        remove_adapter(u);
         return;
     }
     /* Whether this counts as accepted is not told: ask. */
     u->order_load_ms = 0;
     apply_order(m, u, now_ms);
-    distrust(u, now_ms);
+    invalidate_content(u, now_ms);
     mp_set_goal(u, NULL);
 }
 
 void
-mp_on_order_end(Mp *m, uint64_t now_ms, const char *id, MpOrderEnd end)
+mp_on_order_result(Mp *m, uint64_t now_ms, const char *id, MpOrderResult end)
 {
     Up *u = g_hash_table_lookup(m->ups, id);
     if (!u || !u->ordered) {
         return;
     }
     u->ordered = false;
-    if (u->order_from_store && end != MP_ORDER_TAKEN &&
+    if (u->order_from_store && end != MP_ORDER_ACCEPTED &&
         end != MP_ORDER_UNKNOWN) {
-        mp_forget_store_start(m, u->order_ms);
+        mp_cancel_store_start(m, u->order_ms);
     }
-    if (u->order_unload && !u->order_adapter && end != MP_ORDER_TAKEN) {
-        keep_replica(u);
+    if (u->order_unload && !u->order_adapter && end != MP_ORDER_ACCEPTED) {
+        cancel_unload(u);
     }
     /* One whose answer is missing may be well: it is asked first. */
-    note_reach(m, u, end != MP_ORDER_NOT_SENT);
+    set_reached(m, u, end != MP_ORDER_NOT_SENT);
     switch (end) {
-    case MP_ORDER_TAKEN:
-        note_taken(m, u, now_ms);
+    case MP_ORDER_ACCEPTED:
+        on_accepted(m, u, now_ms);
         break;
-    case MP_ORDER_HOLDS:
-        note_holds(m, u, now_ms);
+    case MP_ORDER_NO_CHANGE:
+        on_no_change(m, u, now_ms);
         break;
     case MP_ORDER_CONFLICT:
-        u->retry_ms = now_ms + RETRY_PAUSE_MS;
-        if (now_ms > u->unloaded_ms + UNLOAD_MS) {
-            distrust(u, now_ms + RETRY_PAUSE_MS);
+        u->retry_ms = now_ms + CONFLICT_RETRY_MS;
+        if (now_ms > u->unloaded_ms + UNLOAD_DRAIN_MS) {
+            invalidate_content(u, now_ms + CONFLICT_RETRY_MS);
         }
         break;
     case MP_ORDER_NOT_SENT:
-        u->retry_ms = now_ms + ASK_PAUSE_MS;
+        u->retry_ms = now_ms + REPORT_INTERVAL_MS;
         break;
     case MP_ORDER_REFUSED:
     case MP_ORDER_UNKNOWN:
         u->changed_ms = now_ms;
-        u->retry_ms = now_ms + ASK_PAUSE_MS;
-        distrust(u, now_ms + ASK_PAUSE_MS);
+        u->retry_ms = now_ms + REPORT_INTERVAL_MS;
+        invalidate_content(u, now_ms + REPORT_INTERVAL_MS);
         mp_set_goal(u, NULL);
         break;
     }
@@ -809,19 +811,20 @@
    answer it goes on to be used: a gateway that is cut off from us waits for
    what others have long had. */
 static void
-doubt(Mp *m, uint64_t now_ms, Up *u)
+verify_waited_models(Mp *m, uint64_t now_ms, Up *u)
 {
-    if (!u->known || u->asking || u->ordered || u->busy_until_ms > now_ms ||
-        now_ms < u->doubted_ms + DOUBT_MS) {
+    if (!u->known || u->report_pending || u->ordered ||
+        u->busy_until_ms > now_ms ||
+        now_ms < u->verified_ms + VERIFY_AFTER_MS) {
         return;
     }
     for (guint i = 0; i < u->replicas->len; i++) {
         const Replica *r = u->replicas->pdata[i];
-        uint64_t since_ms = r->model->demand.wanted_since_ms;
+        uint64_t since_ms = r->model->demand.waiting_since_ms;
         if (since_ms && r->ready_ms <= now_ms &&
-            now_ms > MAX(since_ms, r->ready_ms) + DOUBT_MS) {
-            u->doubted_ms = now_ms;
-            ask(m, u);
+            now_ms > MAX(since_ms, r->ready_ms) + VERIFY_AFTER_MS) {
+            u->verified_ms = now_ms;
+            request_report(m, u);
             return;
         }
     }
@@ -832,7 +835,7 @@
 {
     for (guint i = 0; i < u->replicas->len; i++) {
         const Replica *r = u->replicas->pdata[i];
-        if (r->ready_ms == WHEN_TOLD && now_ms > r->expected_ms &&
+        if (r->ready_ms == WHEN_REPORTED && now_ms > r->expected_ms &&
             now_ms >= u->changed_ms + REPORT_LAG_MS) {
             return true;
         }
@@ -841,13 +844,14 @@
 }
 
 static void
-look_at(Mp *m, uint64_t now_ms, Up *u, bool may_order)
+update_upstream(Mp *m, uint64_t now_ms, Up *u, bool may_order)
 {
-    doubt(m, now_ms, u);
-    mp_learn_from_lateness(m, now_ms, u);
-    if ((!u->known || is_load_late(u, now_ms)) && !u->asking && !u->ordered &&
-        now_ms >= u->next_ask_ms && m->asking < MOST_ASKING) {
-        ask(m, u);
+    verify_waited_models(m, now_ms, u);
+    mp_check_overdue_loads(m, now_ms, u);
+    if ((!u->known || is_load_late(u, now_ms)) && !u->report_pending &&
+        !u->ordered && now_ms >= u->next_report_ms &&
+        m->reports_pending < MAX_REPORTS_PENDING) {
+        request_report(m, u);
     }
     if (may_order && u->goal) {
         mp_pursue_goal(m, now_ms, u);
@@ -855,20 +859,20 @@
 }
 
 static uint32_t
-count_asking(const Mp *m)
+count_reports_pending(const Mp *m)
 {
     uint32_t n = 0;
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->ups);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        n += ((Up *)v)->asking;
+        n += ((Up *)v)->report_pending;
     }
     return n;
 }
 
 static void
-tell_changes(Mp *m, uint64_t now_ms, uint64_t last_ms)
+publish_changes(Mp *m, uint64_t now_ms, uint64_t last_ms)
 {
     GHashTableIter it;
     gpointer v;
@@ -877,7 +881,7 @@
         Up *u = v;
         if (u->service && u->known &&
             (!u->told || mp_has_just_become_ready(u, now_ms, last_ms))) {
-            mp_tell(m, u, now_ms);
+            mp_publish(m, u, now_ms);
         }
     }
 }
@@ -892,17 +896,17 @@
     m->now_ms = now_ms;
     mp_forget_idle(m, now_ms);
     mp_count_replicas(m);
-    mp_judge_replicas(m, now_ms);
-    mp_sum_store_loads(m, now_ms);
-    m->store_closed = NULL;
-    m->asking = count_asking(m);
+    mp_estimate_capacity(m, now_ms);
+    mp_integrate_store_loads(m, now_ms);
+    m->store_blocked = NULL;
+    m->reports_pending = count_reports_pending(m);
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->ups);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Up *u = v;
         if (u->service) {
-            look_at(m, now_ms, u, may_order);
+            update_upstream(m, now_ms, u, may_order);
         }
     }
     if (may_order) {
@@ -910,17 +914,17 @@
         mp_place_adapters(m, now_ms);
         mp_prefetch(m, now_ms);
     }
-    tell_changes(m, now_ms, last_ms);
+    publish_changes(m, now_ms, last_ms);
 }
 
-#define SERVED_MS                                                             \
+#define RECENT_ANSWER_MS                                                      \
     1500 /* an answer that began there so long ago still counts */
 
 static bool
 is_cut_off(const Up *u, uint64_t now_ms, GHashTable *linked)
 {
     return u->unreached &&
-           (now_ms < u->load->began_ms + SERVED_MS ||
+           (now_ms < u->load->began_ms + RECENT_ANSWER_MS ||
             !g_hash_table_contains(linked, u->entry->data_centre));
 }
 
--- a/src/mp.h
+++ b/src/mp.h
@@ -26,13 +26,13 @@
 #include "dm.h"
 
 typedef enum {
-    MP_ORDER_TAKEN,    /* it is being carried out */
-    MP_ORDER_HOLDS,    /* already so */
-    MP_ORDER_CONFLICT, /* another is in progress, or the sequence differs */
-    MP_ORDER_REFUSED,  /* not carried out: wrong upstream or unknown model */
+    MP_ORDER_ACCEPTED,  /* it is being carried out */
+    MP_ORDER_NO_CHANGE, /* already so */
+    MP_ORDER_CONFLICT,  /* another is in progress, or the sequence differs */
+    MP_ORDER_REFUSED,   /* not carried out: wrong upstream or unknown model */
     MP_ORDER_NOT_SENT,
     MP_ORDER_UNKNOWN /* may act yet */
-} MpOrderEnd;
+} MpOrderResult;
 
 typedef struct {
     const char *upstream; /* id; with the life that is expected there */
@@ -44,24 +44,24 @@
     uint64_t sequence;
 } MpOrder;
 
-typedef void (*MpOrderFn)(void *ctx, MpOrderEnd end, uint16_t status);
+typedef void (*MpOrderFn)(void *ctx, MpOrderResult end, uint16_t status);
 
 typedef struct {
     void *ctx;
-    /* Answered by mp_on_order_end; one at a time for each upstream. */
+    /* Answered by mp_on_order_result; one at a time for each upstream. */
     void (*order)(void *ctx, const MpOrder *order);
     /* Ask the upstream for a report; answered by mp_on_report. */
-    void (*ask)(void *ctx, const DepUpstream *of);
+    void (*request_report)(void *ctx, const DepUpstream *of);
     /* Gateways are to believe this of UPSTREAM: DepResident list, borrowed. */
-    void (*placed)(void *ctx, const char *upstream, const GPtrArray *models);
+    void (*publish)(void *ctx, const char *upstream, const GPtrArray *models);
     /* UPSTREAM did not answer: they are to leave it alone until it is placed
        anew. */
     void (*away)(void *ctx, const char *upstream);
     /* For the log: a replica of MODEL is believed to serve GOOD requests at
        once well, as SLOW of its answers were slow with LOAD at each of its
        REPLICAS. */
-    void (*judged)(void *ctx, const char *model, double good, double slow,
-                   double load, uint32_t replicas);
+    void (*capacity_estimated)(void *ctx, const char *model, double capacity,
+                               double slow, double load, uint32_t replicas);
 } MpOutput;
 
 typedef struct {
@@ -73,7 +73,7 @@
 typedef struct {
     uint32_t at_once; /* that are begun side by side */
     uint32_t most;    /* with more they came late; 0: not seen yet */
-} MpStoreRate;
+} MpStoreLimits;
 
 typedef struct Mp Mp;
 
@@ -82,21 +82,22 @@
 
 void mp_on_config(Mp *m, DepConfig *c);
 void mp_on_entry(Mp *m, uint64_t now_ms, const DepUpstream *entry);
-void mp_on_gone(Mp *m, const char *id);
+void mp_on_removed(Mp *m, const char *id);
 /* It is about to end: nothing more is loaded there. */
-void mp_on_leaving(Mp *m, const char *id);
+void mp_on_draining(Mp *m, const char *id);
 void mp_keep_only(Mp *m, GHashTable *ids);
 
 /* The lease was gained: nothing that was believed before counts. */
-void mp_begin(Mp *m, uint64_t now_ms);
+void mp_on_lease_gained(Mp *m, uint64_t now_ms);
 /* SUMS over all gateways that changed, or all that there are. */
 void mp_on_demand(Mp *m, uint64_t now_ms, const DmDemand *sums);
 /* A gateway's call broke off there: it may be down, so it is asked. */
-void mp_on_suspicion(Mp *m, uint64_t now_ms, const char *id);
+void mp_on_suspected(Mp *m, uint64_t now_ms, const char *id);
 /* REPORT: NULL when the upstream did not answer. */
 void mp_on_report(Mp *m, uint64_t now_ms, const char *id,
                   const DepUpstream *report);
-void mp_on_order_end(Mp *m, uint64_t now_ms, const char *id, MpOrderEnd end);
+void mp_on_order_result(Mp *m, uint64_t now_ms, const char *id,
+                        MpOrderResult end);
 /* Decide what is due; orders are given only when MAY_ORDER. */
 void mp_on_tick(Mp *m, uint64_t now_ms, bool may_order);
 
@@ -112,8 +113,8 @@
 void mp_count_cut_off(const Mp *m, uint64_t now_ms, GHashTable *linked,
                       uint32_t *all, uint32_t *cut_off);
 /* What the VM that placed before had learnt of the weight store. */
-void mp_set_store_rate(Mp *m, MpStoreRate rate);
-MpStoreRate mp_get_store_rate(const Mp *m);
+void mp_set_store_limits(Mp *m, MpStoreLimits rate);
+MpStoreLimits mp_get_store_limits(const Mp *m);
 /* What all gateways together have at an upstream. */
 typedef struct {
     uint32_t running; /* requests, as last said */
--- a/src/mp_adapter.c
+++ b/src/mp_adapter.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define ADAPTER_SETTLE_MS 300
+#define ADAPTER_MIN_IDLE_MS 300
 /* One without a free place is taken after all that have one. */
 #define FULL_COST 100
 
@@ -17,10 +17,10 @@
 }
 
 static bool
-is_quiet(const Mp *m, uint64_t now_ms, const Up *u, const Replica *r,
-         const Adapter *a)
+is_idle(const Mp *m, uint64_t now_ms, const Up *u, const Replica *r,
+        const Adapter *a)
 {
-    if (a->leaving || now_ms < a->used_ms + ADAPTER_SETTLE_MS) {
+    if (a->leaving || now_ms < a->used_ms + ADAPTER_MIN_IDLE_MS) {
         return false;
     }
     const Demand *d = mp_find_adapter_demand(m, r->model, a->name);
@@ -37,7 +37,7 @@
         for (guint j = 0; j < r->adapters->len; j++) {
             Adapter *a = r->adapters->pdata[j];
             if ((!best || a->used_ms < best->used_ms) &&
-                is_quiet(m, now_ms, u, r, a)) {
+                is_idle(m, now_ms, u, r, a)) {
                 best = a;
                 *model = r->model;
             }
@@ -47,14 +47,14 @@
 }
 
 static bool
-is_on_its_way(const Up *u, const WantedAdapter *w)
+is_being_loaded(const Up *u, const AdapterDemand *w)
 {
     return u->ordered && !u->order_unload && u->order_model == w->model &&
            g_strcmp0(u->order_adapter, w->name) == 0;
 }
 
 static bool
-holds_adapter(const Up *u, const WantedAdapter *w)
+holds_adapter(const Up *u, const AdapterDemand *w)
 {
     const Replica *r = mp_find_replica(u, w->model);
     for (guint i = 0; r && i < r->adapters->len; i++) {
@@ -68,11 +68,11 @@
 
 /* Held, or ordered, on an upstream that can be used. */
 static bool
-is_placed(const WantedAdapter *w)
+is_placed(const AdapterDemand *w)
 {
     for (guint i = 0; i < w->model->holders->len; i++) {
         const Up *u = w->model->holders->pdata[i];
-        if (mp_can_use(u) && (holds_adapter(u, w) || is_on_its_way(u, w))) {
+        if (mp_can_use(u) && (holds_adapter(u, w) || is_being_loaded(u, w))) {
             return true;
         }
     }
@@ -80,7 +80,7 @@
 }
 
 static Up *
-find_place(const Mp *m, uint64_t now_ms, const Model *model)
+find_upstream(const Mp *m, uint64_t now_ms, const Model *model)
 {
     Up *best = NULL;
     uint32_t least = 0;
@@ -108,9 +108,9 @@
 }
 
 static void
-place_adapter(Mp *m, uint64_t now_ms, const WantedAdapter *w)
+place_adapter(Mp *m, uint64_t now_ms, const AdapterDemand *w)
 {
-    Up *u = find_place(m, now_ms, w->model);
+    Up *u = find_upstream(m, now_ms, w->model);
     if (!u) {
         return;
     }
@@ -131,7 +131,7 @@
     gpointer v;
     g_hash_table_iter_init(&it, m->adapters);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const WantedAdapter *w = v;
+        const AdapterDemand *w = v;
         if (w->demand.waiting > 0 && !is_placed(w)) {
             place_adapter(m, now_ms, w);
         }
--- a/src/mp_demand.c
+++ b/src/mp_demand.c
@@ -3,17 +3,17 @@
 #include <math.h>
 #include <string.h>
 
-#define FORGOTTEN_RATE 0.0005 /* uses a second; the model is idle */
-#define FORGET_MS 500         /* between looks for what is idle */
+#define IDLE_RATE 0.0005  /* uses a second; the model is idle */
+#define IDLE_CHECK_MS 500 /* between looks for what is idle */
 /* Uses of a model in so long make its rate. */
-#define RATE_MS 5000.
-#define REFUSED_MEMORY_MS 2000. /* refusals in so long make their rate */
+#define RATE_WINDOW_MS 5000.
+#define REFUSED_WINDOW_MS 2000. /* refusals in so long make their rate */
 
 /* ---- rates -------------------------------------------------------------- */
 
 /* Of RATE as it stood at THEN_MS what counts now. */
 static double
-fade(double rate, uint64_t now_ms, uint64_t then_ms, double memory_ms)
+decay(double rate, uint64_t now_ms, uint64_t then_ms, double memory_ms)
 {
     return rate > 0 ? rate * exp(-(double)(now_ms - then_ms) / memory_ms) : 0;
 }
@@ -21,34 +21,35 @@
 double
 mp_get_rate(const Demand *d, uint64_t now_ms)
 {
-    return fade(d->rate, now_ms, d->rated_ms, RATE_MS);
+    return decay(d->rate, now_ms, d->rated_ms, RATE_WINDOW_MS);
 }
 
 double
 mp_get_hurried_rate(const Demand *d, uint64_t now_ms)
 {
-    return fade(d->hurried, now_ms, d->rated_ms, RATE_MS);
+    return decay(d->hurried, now_ms, d->rated_ms, RATE_WINDOW_MS);
 }
 
 double
 mp_get_refused_rate(const Demand *d, uint64_t now_ms)
 {
-    return fade(d->refused, now_ms, d->refused_ms, REFUSED_MEMORY_MS);
+    return decay(d->refused, now_ms, d->refused_ms, REFUSED_WINDOW_MS);
 }
 
 static void
 add_refused(Demand *d, uint64_t now_ms, uint32_t count)
 {
     d->refused =
-        mp_get_refused_rate(d, now_ms) + count * 1000. / REFUSED_MEMORY_MS;
+        mp_get_refused_rate(d, now_ms) + count * 1000. / REFUSED_WINDOW_MS;
     d->refused_ms = now_ms;
 }
 
 static void
 add_arrivals(Demand *d, uint64_t now_ms, uint32_t count, uint32_t hurried)
 {
-    d->hurried = mp_get_hurried_rate(d, now_ms) + hurried * 1000. / RATE_MS;
-    d->rate = mp_get_rate(d, now_ms) + count * 1000. / RATE_MS;
+    d->hurried =
+        mp_get_hurried_rate(d, now_ms) + hurried * 1000. / RATE_WINDOW_MS;
+    d->rate = mp_get_rate(d, now_ms) + count * 1000. / RATE_WINDOW_MS;
     d->rated_ms = now_ms;
 }
 
@@ -58,19 +59,19 @@
     d->waiting = waiting;
     d->running = running;
     if (waiting == 0) {
-        d->wanted_since_ms = 0;
+        d->waiting_since_ms = 0;
     }
-    else if (d->wanted_since_ms == 0) {
-        d->wanted_since_ms = now_ms;
+    else if (d->waiting_since_ms == 0) {
+        d->waiting_since_ms = now_ms;
     }
 }
 
 /* ---- wants -------------------------------------------------------------- */
 
 void
-mp_free_wanted_adapter(void *wanted)
+mp_free_adapter_demand(void *wanted)
 {
-    g_free(((WantedAdapter *)wanted)->name);
+    g_free(((AdapterDemand *)wanted)->name);
     g_free(wanted);
 }
 
@@ -78,7 +79,7 @@
 mp_find_adapter_demand(const Mp *m, const Model *model, const char *adapter)
 {
     g_autofree char *key = dep_make_key(model->name, adapter);
-    WantedAdapter *w = g_hash_table_lookup(m->adapters, key);
+    AdapterDemand *w = g_hash_table_lookup(m->adapters, key);
     return w ? &w->demand : NULL;
 }
 
@@ -86,9 +87,9 @@
 get_adapter_demand(Mp *m, Model *model, const char *adapter)
 {
     g_autofree char *key = dep_make_key(model->name, adapter);
-    WantedAdapter *w = g_hash_table_lookup(m->adapters, key);
+    AdapterDemand *w = g_hash_table_lookup(m->adapters, key);
     if (!w) {
-        w = g_new0(WantedAdapter, 1);
+        w = g_new0(AdapterDemand, 1);
         w->model = model;
         w->name = g_strdup(adapter);
         g_hash_table_insert(m->adapters, g_steal_pointer(&key), w);
@@ -97,7 +98,7 @@
 }
 
 static void
-take_want(Mp *m, uint64_t now_ms, const DmWant *w)
+apply_model_demand(Mp *m, uint64_t now_ms, const DmModelDemand *w)
 {
     Model *model = mp_get_model(m, w->model);
     Demand *d = &model->demand;
@@ -119,72 +120,73 @@
 /* ---- how much one replica serves well ----------------------------------- */
 
 /* Fewer that are slow have another reason than too many beside them. */
-#define LEAST_GOOD 10.
-#define MOST_GOOD 64.
-#define LEAST_RUNNING 3. /* requests at once; with fewer chance decides */
-#define JUDGE_MS 1000
-#define SLOW_SHARE                                                            \
-    0.15                 /* of requests, from which on a replica has too many \
-                          */
-#define WELL_SHARE 0.05  /* up to which it may have more */
-#define LESS 0.8         /* of the load that was too much */
-#define MORE 1.1         /* of the load that was served well */
-#define TOLD_CHANGE 0.15 /* that is worth a line in the log */
-#define TOLD_OTHERS 0.05 /* how much one model says of the others */
+#define MIN_CAPACITY 10.
+#define MAX_CAPACITY 64.
+#define MIN_RUNNING 3. /* requests at once; with fewer chance decides */
+#define ESTIMATE_INTERVAL_MS 1000
+#define OVERLOAD_SLOW_SHARE                                                   \
+    0.15 /* of requests, from which on a replica has too many                 \
+          */
+#define HEALTHY_SLOW_SHARE 0.05 /* up to which it may have more */
+#define DECREASE_FACTOR 0.8     /* of the load that was too much */
+#define INCREASE_FACTOR 1.1     /* of the load that was served well */
+#define LOGGED_CHANGE 0.15      /* that is worth a line in the log */
+#define DEFAULT_WEIGHT 0.05     /* how much one model says of the others */
 
 /* What prompts take to read, how long answers are and what else runs there
    differs by model, site and hour; whether callers are served in time shows it
    all. */
 static void
-judge(Mp *m, Model *model, uint64_t passed_ms)
+estimate_capacity(Mp *m, Model *model, uint64_t passed_ms)
 {
-    double running = model->running_ms / (double)passed_ms;
-    if (running < LEAST_RUNNING) {
+    double running = model->running_integral_ms / (double)passed_ms;
+    if (running < MIN_RUNNING) {
         return;
     }
-    double slow = model->slow_ms / model->running_ms;
+    double slow = model->slow_integral_ms / model->running_integral_ms;
     double load = running / MAX(model->replicas, 1);
-    double before = model->good;
-    if (slow > SLOW_SHARE) {
-        model->good = MIN(model->good, load) * LESS;
+    double before = model->capacity;
+    if (slow > OVERLOAD_SLOW_SHARE) {
+        model->capacity = MIN(model->capacity, load) * DECREASE_FACTOR;
     }
-    else if (slow <= WELL_SHARE && load * MORE > model->good) {
-        model->good = load * MORE;
+    else if (slow <= HEALTHY_SLOW_SHARE &&
+             load * INCREASE_FACTOR > model->capacity) {
+        model->capacity = load * INCREASE_FACTOR;
     }
-    model->good = CLAMP(model->good, LEAST_GOOD, MOST_GOOD);
-    if (fabs(model->good - before) > before * TOLD_CHANGE) {
-        m->out.judged(m->out.ctx, model->name, model->good, slow, load,
-                      model->replicas);
+    model->capacity = CLAMP(model->capacity, MIN_CAPACITY, MAX_CAPACITY);
+    if (fabs(model->capacity - before) > before * LOGGED_CHANGE) {
+        m->out.capacity_estimated(m->out.ctx, model->name, model->capacity,
+                                  slow, load, model->replicas);
     }
-    m->good += TOLD_OTHERS * (model->good - m->good);
+    m->capacity += DEFAULT_WEIGHT * (model->capacity - m->capacity);
 }
 
 static void
-sum_model(Model *model, uint64_t now_ms)
+integrate_model(Model *model, uint64_t now_ms)
 {
-    double passed_ms = (double)(now_ms - model->summed_ms);
-    model->slow_ms += passed_ms * model->slow;
-    model->running_ms += passed_ms * model->demand.running;
-    model->summed_ms = now_ms;
+    double passed_ms = (double)(now_ms - model->integrated_ms);
+    model->slow_integral_ms += passed_ms * model->slow;
+    model->running_integral_ms += passed_ms * model->demand.running;
+    model->integrated_ms = now_ms;
 }
 
 void
-mp_judge_replicas(Mp *m, uint64_t now_ms)
+mp_estimate_capacity(Mp *m, uint64_t now_ms)
 {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->models);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Model *model = v;
-        sum_model(model, now_ms);
-        uint64_t passed_ms = now_ms - model->judged_ms;
-        if (passed_ms < JUDGE_MS) {
+        integrate_model(model, now_ms);
+        uint64_t passed_ms = now_ms - model->estimated_ms;
+        if (passed_ms < ESTIMATE_INTERVAL_MS) {
             continue;
         }
-        judge(m, model, passed_ms);
-        model->judged_ms = now_ms;
-        model->slow_ms = 0;
-        model->running_ms = 0;
+        estimate_capacity(m, model, passed_ms);
+        model->estimated_ms = now_ms;
+        model->slow_integral_ms = 0;
+        model->running_integral_ms = 0;
     }
 }
 
@@ -200,18 +202,18 @@
 }
 
 void
-mp_free_load(void *load)
+mp_free_upstream_load(void *load)
 {
-    g_ptr_array_free(((Load *)load)->uses, TRUE);
+    g_ptr_array_free(((UpstreamLoad *)load)->uses, TRUE);
     g_free(load);
 }
 
-Load *
-mp_get_load(Mp *m, const char *upstream)
+UpstreamLoad *
+mp_get_upstream_load(Mp *m, const char *upstream)
 {
-    Load *l = g_hash_table_lookup(m->loads, upstream);
+    UpstreamLoad *l = g_hash_table_lookup(m->loads, upstream);
     if (!l) {
-        l = g_new0(Load, 1);
+        l = g_new0(UpstreamLoad, 1);
         l->uses = g_ptr_array_new_with_free_func(free_use);
         g_hash_table_insert(m->loads, g_strdup(upstream), l);
     }
@@ -219,7 +221,7 @@
 }
 
 static Use *
-find_use(const Load *l, const char *model, const char *adapter)
+find_use(const UpstreamLoad *l, const char *model, const char *adapter)
 {
     for (guint i = 0; i < l->uses->len; i++) {
         Use *u = l->uses->pdata[i];
@@ -232,7 +234,7 @@
 }
 
 static Use *
-get_use(Load *l, const char *model, const char *adapter)
+get_use(UpstreamLoad *l, const char *model, const char *adapter)
 {
     Use *u = find_use(l, model, adapter);
     if (!u) {
@@ -264,9 +266,9 @@
 }
 
 static void
-take_use(Mp *m, uint64_t now_ms, const DmUse *use)
+apply_use(Mp *m, uint64_t now_ms, const DmUse *use)
 {
-    Load *l = mp_get_load(m, use->upstream);
+    UpstreamLoad *l = mp_get_upstream_load(m, use->upstream);
     Use *u = get_use(l, use->model, use->adapter);
     l->running += use->running - u->running;
     l->queued += use->queued - u->queued;
@@ -274,7 +276,9 @@
     u->running = use->running;
     u->queued = use->queued;
     u->slow = use->slow;
-    l->queued_ms = l->queued == 0 ? 0 : l->queued_ms ? l->queued_ms : now_ms;
+    l->queued_since_ms = l->queued == 0       ? 0
+                         : l->queued_since_ms ? l->queued_since_ms
+                                              : now_ms;
     note_used(m, now_ms, use);
     if (u->running == 0) {
         g_ptr_array_remove_fast(l->uses, u);
@@ -309,15 +313,15 @@
     }
     g_hash_table_iter_init(&it, m->adapters);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        set_levels(&((WantedAdapter *)v)->demand, now_ms, 0, 0);
+        set_levels(&((AdapterDemand *)v)->demand, now_ms, 0, 0);
     }
     g_hash_table_iter_init(&it, m->loads);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        Load *l = v;
+        UpstreamLoad *l = v;
         g_ptr_array_set_size(l->uses, 0);
         l->running = 0;
         l->queued = 0;
-        l->queued_ms = 0;
+        l->queued_since_ms = 0;
     }
 }
 
@@ -328,48 +332,48 @@
         clear_levels(m, now_ms);
     }
     for (guint i = 0; i < sums->wants->len; i++) {
-        take_want(m, now_ms, sums->wants->pdata[i]);
+        apply_model_demand(m, now_ms, sums->wants->pdata[i]);
     }
     for (guint i = 0; i < sums->uses->len; i++) {
-        take_use(m, now_ms, sums->uses->pdata[i]);
+        apply_use(m, now_ms, sums->uses->pdata[i]);
     }
     for (guint i = 0; i < sums->began->len; i++) {
         const DmBegan *b = sums->began->pdata[i];
-        Load *l = mp_get_load(m, b->upstream);
+        UpstreamLoad *l = mp_get_upstream_load(m, b->upstream);
         l->began += b->count;
         l->began_ms = now_ms;
     }
 }
 
 static bool
-is_asked_for(const Demand *d, uint64_t now_ms)
+has_demand(const Demand *d, uint64_t now_ms)
 {
-    return d->waiting > 0 || mp_get_rate(d, now_ms) >= FORGOTTEN_RATE;
+    return d->waiting > 0 || mp_get_rate(d, now_ms) >= IDLE_RATE;
 }
 
 static gboolean
 is_idle_adapter(gpointer key, gpointer wanted, gpointer now_ms)
 {
     (void)key;
-    return !is_asked_for(&((WantedAdapter *)wanted)->demand,
-                         *(uint64_t *)now_ms);
+    return !has_demand(&((AdapterDemand *)wanted)->demand,
+                       *(uint64_t *)now_ms);
 }
 
 static gboolean
 is_idle_load(gpointer upstream, gpointer load, gpointer mp)
 {
-    return ((Load *)load)->uses->len == 0 &&
+    return ((UpstreamLoad *)load)->uses->len == 0 &&
            !g_hash_table_contains(((Mp *)mp)->ups, upstream);
 }
 
 static bool
-has_adapters_wanted(const Mp *m, const Model *model)
+has_adapter_demand(const Mp *m, const Model *model)
 {
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->adapters);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        if (((WantedAdapter *)v)->model == model) {
+        if (((AdapterDemand *)v)->model == model) {
             return true;
         }
     }
@@ -394,20 +398,20 @@
 /* Callers may ask for anything: what is not declared stays no longer than
    they do. */
 static bool
-is_unknown(const Mp *m, const Model *model)
+is_unreferenced(const Mp *m, const Model *model)
 {
     return !model->declared && model->holders->len == 0 &&
            model->copies->len == 0 && model->goals->len == 0 &&
-           !has_adapters_wanted(m, model) && !is_ordered(m, model);
+           !has_adapter_demand(m, model) && !is_ordered(m, model);
 }
 
 void
 mp_forget_idle(Mp *m, uint64_t now_ms)
 {
-    if (now_ms < m->forgot_ms + FORGET_MS) {
+    if (now_ms < m->idle_checked_ms + IDLE_CHECK_MS) {
         return;
     }
-    m->forgot_ms = now_ms;
+    m->idle_checked_ms = now_ms;
     m->asked = false;
     g_hash_table_foreach_remove(m->adapters, is_idle_adapter, &now_ms);
     g_hash_table_foreach_remove(m->loads, is_idle_load, m);
@@ -416,10 +420,10 @@
     g_hash_table_iter_init(&it, m->models);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Model *model = v;
-        if (is_asked_for(&model->demand, now_ms)) {
+        if (has_demand(&model->demand, now_ms)) {
             m->asked = true;
         }
-        else if (is_unknown(m, model)) {
+        else if (is_unreferenced(m, model)) {
             g_hash_table_iter_remove(&it);
         }
     }
--- a/src/mp_int.h
+++ b/src/mp_int.h
@@ -1,14 +1,14 @@
 /* mp_int: what the files of mp share: mp.c keeps what upstreams hold and were
    ordered, mp_demand.c what callers ask for, mp_place.c decides what is loaded
    where, mp_adapter.c the same of adapters, mp_store.c how many loads the
-   weight store is asked for at once, mp_tell.c what gateways are told. */
+   weight store is asked for at once, mp_publish.c what gateways are told. */
 #ifndef MP_INT_H
 #define MP_INT_H
 
 #include "mp.h"
 
 /* Not by the clock, but when the upstream says so. */
-#define WHEN_TOLD UINT64_MAX
+#define WHEN_REPORTED UINT64_MAX
 
 typedef struct Model Model;
 typedef struct Up Up;
@@ -22,8 +22,8 @@
     double hurried; /* of the rate: those with no time for a load */
     double refused; /* a second, decayed */
     uint64_t refused_ms;
-    uint64_t wanted_since_ms; /* 0: nobody waits */
-    uint64_t next_try_ms;     /* no place was found: not looked for before */
+    uint64_t waiting_since_ms; /* 0: nobody waits */
+    uint64_t next_try_ms;      /* no place was found: not looked for before */
 } Demand;
 
 struct Model {
@@ -39,12 +39,12 @@
     uint32_t replicas;  /* usable, or to be; derived anew at each tick */
     /* Requests at once that one replica serves well, as far as is known, and
        what it follows from. */
-    double good;
-    uint32_t slow;     /* requests that are about to come late */
-    double slow_ms;    /* time times these, since it was last judged */
-    double running_ms; /* the same of all */
-    uint64_t summed_ms;
-    uint64_t judged_ms;
+    double capacity;
+    uint32_t slow;           /* requests that are about to come late */
+    double slow_integral_ms; /* time times these, since it was last judged */
+    double running_integral_ms; /* the same of all */
+    uint64_t integrated_ms;
+    uint64_t estimated_ms;
 };
 
 typedef struct {
@@ -56,11 +56,11 @@
 
 typedef struct {
     Model *model;
-    uint64_t ready_ms;      /* usable from then on, or WHEN_TOLD */
-    uint64_t expected_ms;   /* when its load should end */
-    uint64_t ordered_ms;    /* when it was ordered */
-    double loads_before_ms; /* Mp.loads_ms when its load began */
-    bool late;              /* its load takes longer than it should */
+    uint64_t ready_ms;           /* usable from then on, or WHEN_REPORTED */
+    uint64_t expected_ms;        /* when its load should end */
+    uint64_t ordered_ms;         /* when it was ordered */
+    double integral_at_start_ms; /* Mp.load_integral_ms when its load began */
+    bool late;                   /* its load takes longer than it should */
     bool unloading;
     uint64_t used_ms;
     GPtrArray *adapters; /* Adapter */
@@ -79,23 +79,23 @@
 typedef struct {
     GPtrArray *uses; /* Use */
     uint32_t running;
-    uint32_t queued;    /* of these, that wait for their first byte */
-    uint32_t began;     /* answers that began since it was last looked at */
-    uint64_t began_ms;  /* when the last one was told */
-    uint64_t queued_ms; /* since when some wait; 0: none does */
-} Load;
+    uint32_t queued;   /* of these, that wait for their first byte */
+    uint32_t began;    /* answers that began since it was last looked at */
+    uint64_t began_ms; /* when the last one was told */
+    uint64_t queued_since_ms; /* since when some wait; 0: none does */
+} UpstreamLoad;
 
 struct Up {
     DepUpstream *entry;        /* id, address, service */
     const DepService *service; /* NULL: none with models */
-    uint32_t room_mb;          /* of its memory, kept for adapters */
+    uint32_t reserved_mb;      /* of its memory, kept for adapters */
     GPtrArray *in_memory;      /* Model: copies */
     GPtrArray *on_disk;
     bool known; /* content is known, and the sequence it is at */
-    bool asking;
+    bool report_pending;
     bool busy; /* at an order of which we don't know, as last reported */
-    uint64_t next_ask_ms;
-    uint32_t unanswered; /* questions in a row */
+    uint64_t next_report_ms;
+    uint32_t missed_reports; /* questions in a row */
     uint64_t sequence;
     GPtrArray *replicas; /* Replica */
     uint64_t busy_until_ms;
@@ -116,11 +116,11 @@
     bool told;      /* gateways know the present content */
     bool unreached; /* it did not answer last time */
     uint64_t suspected_ms;
-    uint64_t doubted_ms;
-    Load *load;
-    uint32_t queued_before; /* when it was last looked at */
-    uint64_t looked_ms;
-    double pause_ms; /* between beginnings while others wait */
+    uint64_t verified_ms;
+    UpstreamLoad *load;
+    uint32_t last_queued; /* when it was last looked at */
+    uint64_t sampled_ms;
+    double start_interval_ms; /* between beginnings while others wait */
 };
 
 /* Callers of one adapter. */
@@ -128,30 +128,30 @@
     Model *model;
     char *name;
     Demand demand;
-} WantedAdapter;
+} AdapterDemand;
 
 struct Mp {
     MpParams params;
     MpOutput out;
     DepConfig *config;    /* NULL: none yet */
     GHashTable *ups;      /* id -> Up */
-    GHashTable *rooms;    /* DepService -> MB kept free for adapters */
+    GHashTable *reserves; /* DepService -> MB kept free for adapters */
     GHashTable *models;   /* name -> Model */
-    GHashTable *adapters; /* "model/adapter" -> WantedAdapter */
+    GHashTable *adapters; /* "model/adapter" -> AdapterDemand */
     GHashTable *loads;    /* id of an upstream -> Load */
     uint64_t now_ms;      /* of the last tick */
-    double good;          /* of a model of which nothing is known */
+    double capacity;      /* of a model of which nothing is known */
     GArray *store_starts; /* uint64_t: loads from the store begun */
     uint64_t next_prefetch_ms;
-    uint64_t forgot_ms;             /* when idle models were last forgotten */
-    bool asked;                     /* callers asked for some model lately */
-    uint32_t asking;                /* upstreams that haven't answered yet */
-    const DepService *store_closed; /* its loads wait for a later tick */
-    MpStoreRate store;
-    uint64_t store_late_ms; /* when a load was last found late */
-    double loads_ms;        /* time times loads from the store, as summed */
-    uint64_t loads_summed_ms;
-    uint32_t loads_beside; /* when it was last summed */
+    uint64_t idle_checked_ms;        /* when idle models were last forgotten */
+    bool asked;                      /* callers asked for some model lately */
+    uint32_t reports_pending;        /* upstreams that haven't answered yet */
+    const DepService *store_blocked; /* its loads wait for a later tick */
+    MpStoreLimits store;
+    uint64_t store_late_ms;  /* when a load was last found late */
+    double load_integral_ms; /* time times loads from the store, as summed */
+    uint64_t load_integral_at_ms;
+    uint32_t loads_in_flight; /* when it was last summed */
 };
 
 /* A model that lacks replicas. */
@@ -160,7 +160,7 @@
     uint64_t since_ms;
     bool none;   /* nobody holds it */
     double gain; /* callers a second that a replica more serves in time */
-} Wanted;
+} Shortage;
 
 /* mp.c */
 Model *mp_get_model(Mp *m, const char *name);
@@ -172,40 +172,40 @@
 
 /* mp_demand.c */
 /* Requests at a replica, before anything is known. */
-#define MP_FIRST_GOOD 16.
+#define MP_INITIAL_CAPACITY 16.
 Demand *mp_find_adapter_demand(const Mp *m, const Model *model,
                                const char *adapter);
 bool mp_is_in_use(const Up *u, const Model *model, const char *adapter);
 double mp_get_rate(const Demand *d, uint64_t now_ms);
 double mp_get_hurried_rate(const Demand *d, uint64_t now_ms);
 double mp_get_refused_rate(const Demand *d, uint64_t now_ms);
-Load *mp_get_load(Mp *m, const char *upstream);
-void mp_free_load(void *load);
-void mp_free_wanted_adapter(void *wanted);
+UpstreamLoad *mp_get_upstream_load(Mp *m, const char *upstream);
+void mp_free_upstream_load(void *load);
+void mp_free_adapter_demand(void *wanted);
 /* Limits of replicas follow from the answers that were slow. */
-void mp_judge_replicas(Mp *m, uint64_t now_ms);
+void mp_estimate_capacity(Mp *m, uint64_t now_ms);
 /* What nobody asks for any more is left out. */
 void mp_forget_idle(Mp *m, uint64_t now_ms);
 
-/* mp_tell.c */
-void mp_tell(Mp *m, Up *u, uint64_t now_ms);
+/* mp_publish.c */
+void mp_publish(Mp *m, Up *u, uint64_t now_ms);
 bool mp_has_just_become_ready(const Up *u, uint64_t now_ms,
                               uint64_t before_ms);
 
 /* mp_store.c */
-#define MP_MOST_AT_ONCE 16
+#define MP_MAX_STORE_LOADS 16
 uint32_t mp_count_store_loads(const Mp *m);
 /* At each tick, before loads are begun: what is beside each is averaged. */
-void mp_sum_store_loads(Mp *m, uint64_t now_ms);
+void mp_integrate_store_loads(Mp *m, uint64_t now_ms);
 /* The load of R from the store has ended. */
-void mp_learn_from_end(Mp *m, uint64_t now_ms, const Replica *r);
+void mp_on_store_load_end(Mp *m, uint64_t now_ms, const Replica *r);
 /* Of loads at U that take too long and have not ended. */
-void mp_learn_from_lateness(Mp *m, uint64_t now_ms, Up *u);
+void mp_check_overdue_loads(Mp *m, uint64_t now_ms, Up *u);
 /* A load of a model whose loading gains GAIN may be begun now. */
 bool mp_may_start_store_load(Mp *m, uint64_t now_ms, const DepService *s,
                              double gain);
 /* One that was ordered at ORDER_MS was not begun. */
-void mp_forget_store_start(Mp *m, uint64_t order_ms);
+void mp_cancel_store_start(Mp *m, uint64_t order_ms);
 /* FREE_IN_MS: for each load that is served side by side, until it ends. */
 void mp_list_store_slots(const Mp *m, uint64_t now_ms, uint64_t *free_in_ms);
 uint64_t *mp_pick_first_slot(const Mp *m, uint64_t *free_in_ms);
@@ -218,10 +218,10 @@
 void mp_count_replicas(Mp *m);
 void mp_place_models(Mp *m, uint64_t now_ms);
 /* Its load does not need the weight store everywhere. */
-bool mp_is_copied(const Model *model);
+bool mp_is_cached(const Model *model);
 uint32_t mp_get_load_ms(const Up *u, const DepModel *d, const Model *model,
                         bool *from_store);
-GArray *mp_list_wanted(const Mp *m, uint64_t now_ms, bool all);
+GArray *mp_list_shortages(const Mp *m, uint64_t now_ms, bool all);
 void mp_prefetch(Mp *m, uint64_t now_ms);
 void mp_pursue_goal(Mp *m, uint64_t now_ms, Up *u);
 
--- a/src/mp_place.c
+++ b/src/mp_place.c
@@ -4,29 +4,30 @@
 #include <string.h>
 
 /* Between looks for a place for a model that found none. */
-#define TRY_PAUSE_MS 80
-#define PREFETCH_MS 200
+#define RETRY_INTERVAL_MS 80
+#define PREFETCH_INTERVAL_MS 200
 /* A replica stays at least this long: until its first uses are told. */
-#define SETTLE_MS 450
+#define MIN_LIFETIME_MS 450
 /* A load is taken for done this much after its stated time. */
 #define LOAD_MARGIN_MS 15
 /* A refused request would have been at its upstream for about so long. */
-#define STAY_S 1.5
+#define REFUSED_DURATION_S 1.5
 /* Bounds of what is observed of stays: few samples, or a stuck upstream. */
-#define LEAST_STAY_S 0.3
-#define MOST_STAY_S 4.
+#define MIN_DURATION_S 0.3
+#define MAX_DURATION_S 4.
 /* A caller that has time for a load from a disk comes late this often after
    all, as the load has to wait for room or for others. */
-#define RELOAD_RISK 0.2
+#define RELOAD_LATE_SHARE 0.2
 /* Even a model that nobody asked for lately may be asked for. */
-#define UNASKED_LOSS 0.02
+#define IDLE_MODEL_LOSS 0.02
 /* Of callers that have no time for a load, the part that would miss a model
    with one replica as its upstream may be lost. */
-#define LOST_SHARE 0.05
+#define UPSTREAM_LOSS_SHARE 0.05
 /* What a replica more must gain beyond what its room costs, in callers a
    second: or two models would take each other's place in turn. */
-#define LEAST_GAIN 0.3
-#define GAIN_OF_MORE 1. /* to look for a place for a replica more at all */
+#define MIN_NET_GAIN 0.3
+#define MIN_REPLICA_GAIN 1. /* to look for a place for a replica more at all  \
+                             */
 /* A load ahead of need: may cost a model that hardly anybody asks for its
    place, never one that callers wait for. */
 #define PREFETCH_GAIN 0.5
@@ -35,20 +36,20 @@
 #define HORIZON_S 5.
 /* An upstream with as many requests as one replica serves well is as good a
    place as an idle one so much later. */
-#define CROWD_S 0.3
+#define SPREAD_PENALTY_S 0.3
 /* Nothing is gained by waiting for a copy when so many callers miss it. */
-#define STORE_GAIN 8.
+#define STORE_AT_ONCE_GAIN 8.
 /* A replica in use makes room for no less: its own callers come later. */
-#define IN_USE_GAIN 16.
+#define MIN_GAIN_IN_USE 16.
 /* An unload of an idle replica takes so long: free room goes before it. */
-#define UNLOAD_S 0.1
-#define IDLE_MS 100 /* after its last use was told */
-#define GOAL_LIFE_MS 4000
+#define IDLE_UNLOAD_S 0.1
+#define IDLE_AFTER_MS 100 /* after its last use was told */
+#define GOAL_TIMEOUT_MS 4000
 /* Upstreams with a copy are waited for so long before the weight store. */
 #define COPY_WAIT_MS 1500
 /* Those beside an upstream that is away are waited for at least this part of
    a load from the store. */
-#define AWAY_WAIT_PART 3
+#define UNREACHABLE_WAIT_DIVISOR 3
 
 /* ---- replicas ----------------------------------------------------------- */
 
@@ -93,7 +94,7 @@
 static int64_t
 get_free_mb(const Up *u)
 {
-    int64_t free_mb = (int64_t)u->service->memory_mb - u->room_mb;
+    int64_t free_mb = (int64_t)u->service->memory_mb - u->reserved_mb;
     for (guint i = 0; i < u->replicas->len; i++) {
         const Replica *r = u->replicas->pdata[i];
         const DepModel *d = mp_find_declared(u, r->model);
@@ -122,24 +123,26 @@
 static bool
 is_idle(uint64_t now_ms, const Up *u, const Replica *r)
 {
-    return now_ms >= r->used_ms + IDLE_MS && !mp_is_in_use(u, r->model, NULL);
+    return now_ms >= r->used_ms + IDLE_AFTER_MS &&
+           !mp_is_in_use(u, r->model, NULL);
 }
 
 /* ---- what a replica is worth -------------------------------------------- */
 
 /* Requests there would be at once if none were refused. */
 static double
-count_asked(const Demand *d, uint64_t now_ms)
+get_offered_load(const Demand *d, uint64_t now_ms)
 {
-    return d->running + d->waiting + mp_get_refused_rate(d, now_ms) * STAY_S;
+    return d->running + d->waiting +
+           mp_get_refused_rate(d, now_ms) * REFUSED_DURATION_S;
 }
 
 /* Of these, how many come too late with so many replicas: none while each
    has what it serves well, all with twice that. */
 static double
-count_late(double asked, uint32_t replicas, double good)
+get_late_load(double asked, uint32_t replicas, double capacity)
 {
-    return asked * CLAMP(asked / replicas / good - 1, 0, 1);
+    return asked * CLAMP(asked / replicas / capacity - 1, 0, 1);
 }
 
 /* Callers a second that a further replica of a model with REPLICAS, at least
@@ -148,11 +151,11 @@
 get_gain(const Model *model, uint64_t now_ms, uint32_t replicas)
 {
     const Demand *d = &model->demand;
-    double asked = count_asked(d, now_ms);
-    double gain = count_late(asked, replicas, model->good) -
-                  count_late(asked, replicas + 1, model->good);
+    double asked = get_offered_load(d, now_ms);
+    double gain = get_late_load(asked, replicas, model->capacity) -
+                  get_late_load(asked, replicas + 1, model->capacity);
     if (replicas == 1) {
-        gain += mp_get_hurried_rate(d, now_ms) * LOST_SHARE;
+        gain += mp_get_hurried_rate(d, now_ms) * UPSTREAM_LOSS_SHARE;
     }
     return gain;
 }
@@ -170,24 +173,24 @@
         return get_gain(r->model, now_ms, replicas - 1);
     }
     double hurried = mp_get_hurried_rate(d, now_ms);
-    double patient = MAX(mp_get_rate(d, now_ms) - hurried, 0);
+    double tolerant = MAX(mp_get_rate(d, now_ms) - hurried, 0);
     if (!mp_has_copy(u, r->model)) {
         /* It would come back from the weight store, and be loaded ahead of
            need in its turn: models that have no copy must not push each other
            out without end. */
-        return MAX(hurried + patient, PREFETCH_GAIN);
+        return MAX(hurried + tolerant, PREFETCH_GAIN);
     }
-    return UNASKED_LOSS + hurried + patient * RELOAD_RISK;
+    return IDLE_MODEL_LOSS + hurried + tolerant * RELOAD_LATE_SHARE;
 }
 
 /* How long requests for it stay at an upstream: as many are there at once as
    come in that time. */
 static double
-get_stay_s(const Demand *d, uint64_t now_ms)
+get_duration_s(const Demand *d, uint64_t now_ms)
 {
     double rate = mp_get_rate(d, now_ms);
-    return rate > 0 ? CLAMP(d->running / rate, LEAST_STAY_S, MOST_STAY_S)
-                    : LEAST_STAY_S;
+    return rate > 0 ? CLAMP(d->running / rate, MIN_DURATION_S, MAX_DURATION_S)
+                    : MIN_DURATION_S;
 }
 
 /* What loading something in place of a replica costs: callers a second that
@@ -195,31 +198,31 @@
 typedef struct {
     double loss;
     double wait_s;
-} Price;
+} EvictionCost;
 
 /* One in use makes room only for much: its upstream takes no other order until
    its last request has ended.  False: it makes none for GAIN. */
 static bool
-get_price(uint64_t now_ms, const Up *u, const Replica *r, double gain,
-          Price *out)
+get_eviction_cost(uint64_t now_ms, const Up *u, const Replica *r, double gain,
+                  EvictionCost *out)
 {
     const Demand *d = &r->model->demand;
     bool waited = d->waiting > 0 && r->model->replicas < 2;
-    if (waited || r->unloading || r->ready_ms == WHEN_TOLD ||
-        now_ms < r->ready_ms + SETTLE_MS) {
+    if (waited || r->unloading || r->ready_ms == WHEN_REPORTED ||
+        now_ms < r->ready_ms + MIN_LIFETIME_MS) {
         return false;
     }
     bool idle = is_idle(now_ms, u, r);
-    if (!idle && gain < IN_USE_GAIN) {
+    if (!idle && gain < MIN_GAIN_IN_USE) {
         return false;
     }
     out->loss = get_loss(now_ms, u, r);
-    out->wait_s = UNLOAD_S + (idle ? 0 : get_stay_s(d, now_ms));
-    return out->loss + LEAST_GAIN <= gain;
+    out->wait_s = IDLE_UNLOAD_S + (idle ? 0 : get_duration_s(d, now_ms));
+    return out->loss + MIN_NET_GAIN <= gain;
 }
 
 static double
-weigh(const Price *p, double gain)
+get_total_cost(const EvictionCost *p, double gain)
 {
     return p->loss * HORIZON_S + p->wait_s * gain;
 }
@@ -229,7 +232,7 @@
 typedef struct {
     Replica *list[MAX_VICTIMS];
     uint32_t count;
-    Price price; /* of all together */
+    EvictionCost price; /* of all together */
 } Victims;
 
 static bool
@@ -249,12 +252,14 @@
 pick_victim(uint64_t now_ms, const Up *u, double gain, Victims *victims)
 {
     Replica *best = NULL;
-    Price price = {0, 0};
+    EvictionCost price = {0, 0};
     for (guint i = 0; i < u->replicas->len; i++) {
         Replica *r = u->replicas->pdata[i];
-        Price p;
-        if (!is_victim(victims, r) && get_price(now_ms, u, r, gain, &p) &&
-            (!best || weigh(&p, gain) < weigh(&price, gain))) {
+        EvictionCost p;
+        if (!is_victim(victims, r) &&
+            get_eviction_cost(now_ms, u, r, gain, &p) &&
+            (!best ||
+             get_total_cost(&p, gain) < get_total_cost(&price, gain))) {
             best = r;
             price = p;
         }
@@ -276,7 +281,7 @@
 {
     bool from_store;
     double ready_s = mp_get_load_ms(u, d, model, &from_store) / 1000.;
-    if (u->busy_until_ms == WHEN_TOLD) {
+    if (u->busy_until_ms == WHEN_REPORTED) {
         return -1;
     }
     if (u->busy_until_ms > now_ms) {
@@ -292,13 +297,14 @@
         }
         free_mb += rd->memory_mb;
     }
-    const Price *all = &victims.price;
-    if (all->loss > 0 && all->loss + LEAST_GAIN > gain) {
+    const EvictionCost *all = &victims.price;
+    if (all->loss > 0 && all->loss + MIN_NET_GAIN > gain) {
         return -1;
     }
     /* Spread: an upstream that serves much already is slower. */
-    double crowd_s = u->load->running / model->good * CROWD_S;
-    return weigh(all, gain) + gain * (ready_s + crowd_s);
+    double spread_penalty_s =
+        u->load->running / model->capacity * SPREAD_PENALTY_S;
+    return get_total_cost(all, gain) + gain * (ready_s + spread_penalty_s);
 }
 
 /* ---- orders ------------------------------------------------------------- */
@@ -343,7 +349,7 @@
 }
 
 static Replica *
-find_leaving(const Up *u)
+find_unloading(const Up *u)
 {
     for (guint i = 0; i < u->replicas->len; i++) {
         Replica *r = u->replicas->pdata[i];
@@ -358,7 +364,7 @@
 drop_goal(Up *u)
 {
     mp_set_goal(u, NULL);
-    Replica *r = find_leaving(u);
+    Replica *r = find_unloading(u);
     if (r) {
         r->unloading = false;
         u->told = false;
@@ -370,7 +376,7 @@
 static void
 make_room(Mp *m, uint64_t now_ms, Up *u)
 {
-    Replica *r = find_leaving(u);
+    Replica *r = find_unloading(u);
     if (!r) {
         Victims victims = {.count = 0};
         r = pick_victim(now_ms, u, u->goal_gain, &victims);
@@ -391,11 +397,11 @@
 static bool
 may_start_store_load(Mp *m, uint64_t now_ms, const DepService *s, double gain)
 {
-    if (m->store_closed == s) {
+    if (m->store_blocked == s) {
         return false;
     }
     bool open = mp_may_start_store_load(m, now_ms, s, gain);
-    m->store_closed = open ? m->store_closed : s;
+    m->store_blocked = open ? m->store_blocked : s;
     return open;
 }
 
@@ -428,18 +434,18 @@
 
 typedef enum {
     COPY_NONE,
-    COPY_AWAY, /* beside an upstream that does not answer just now */
-    COPY_NEAR  /* beside one that does; it may be busy */
-} Copy;
+    COPY_UNREACHABLE, /* beside an upstream that does not answer just now */
+    COPY_REACHABLE    /* beside one that does; it may be busy */
+} CopyState;
 
-static Copy
-find_copy(const Model *model)
+static CopyState
+get_copy_state(const Model *model)
 {
-    Copy best = COPY_NONE;
+    CopyState best = COPY_NONE;
     for (guint i = 0; i < model->copies->len; i++) {
         const Up *u = model->copies->pdata[i];
         if (mp_can_use(u) && (u->unreached || !mp_find_replica(u, model))) {
-            best = MAX(best, u->unreached ? COPY_AWAY : COPY_NEAR);
+            best = MAX(best, u->unreached ? COPY_UNREACHABLE : COPY_REACHABLE);
         }
     }
     return best;
@@ -448,17 +454,18 @@
 /* The weight store is slow and shared: it is left for models that callers
    wait for in vain, that is whose copies beside upstreams can't be used. */
 static bool
-may_use_store(uint64_t now_ms, const Wanted *w)
+may_use_store(uint64_t now_ms, const Shortage *w)
 {
-    Copy copy = find_copy(w->model);
-    if (copy == COPY_NONE || w->gain >= STORE_GAIN) {
+    CopyState copy = get_copy_state(w->model);
+    if (copy == COPY_NONE || w->gain >= STORE_AT_ONCE_GAIN) {
         return true;
     }
     /* A process that crashed is back before the store could have served. */
     uint32_t load_ms = w->model->declared ? w->model->declared->load_ms : 0;
-    uint64_t wait_ms = copy == COPY_NEAR
-                           ? COPY_WAIT_MS
-                           : MAX(COPY_WAIT_MS, load_ms / AWAY_WAIT_PART);
+    uint64_t wait_ms =
+        copy == COPY_REACHABLE
+            ? COPY_WAIT_MS
+            : MAX(COPY_WAIT_MS, load_ms / UNREACHABLE_WAIT_DIVISOR);
     return w->none && w->model->demand.waiting > 0 &&
            now_ms > w->since_ms + wait_ms;
 }
@@ -466,10 +473,10 @@
 typedef struct {
     Up *up; /* NULL: none */
     double cost;
-} Place;
+} Candidate;
 
 static void
-weigh_place(uint64_t now_ms, const Wanted *w, Up *u, Place *best)
+consider_upstream(uint64_t now_ms, const Shortage *w, Up *u, Candidate *best)
 {
     const DepModel *d = mp_find_declared(u, w->model);
     if (!d || !mp_can_use(u) || u->goal || !u->known || u->ordered ||
@@ -478,12 +485,13 @@
     }
     double cost = compute_load_cost(now_ms, u, w->model, d, w->gain);
     if (cost >= 0 && (!best->up || cost < best->cost)) {
-        *best = (Place){u, cost};
+        *best = (Candidate){u, cost};
     }
 }
 
 static void
-weigh_store_places(Mp *m, uint64_t now_ms, const Wanted *w, Place *best)
+consider_store_loads(Mp *m, uint64_t now_ms, const Shortage *w,
+                     Candidate *best)
 {
     GHashTableIter it;
     gpointer v;
@@ -492,20 +500,20 @@
         Up *u = v;
         if (u->service && !mp_has_copy(u, w->model) &&
             may_start_store_load(m, now_ms, u->service, w->gain)) {
-            weigh_place(now_ms, w, u, best);
+            consider_upstream(now_ms, w, u, best);
         }
     }
 }
 
 static Up *
-find_best_place(Mp *m, uint64_t now_ms, const Wanted *w)
+find_best_upstream(Mp *m, uint64_t now_ms, const Shortage *w)
 {
-    Place best = {NULL, 0};
+    Candidate best = {NULL, 0};
     for (guint i = 0; i < w->model->copies->len; i++) {
-        weigh_place(now_ms, w, w->model->copies->pdata[i], &best);
+        consider_upstream(now_ms, w, w->model->copies->pdata[i], &best);
     }
     if (may_use_store(now_ms, w)) {
-        weigh_store_places(m, now_ms, w, &best);
+        consider_store_loads(m, now_ms, w, &best);
     }
     return best.up;
 }
@@ -514,17 +522,17 @@
 begin_goal(Mp *m, uint64_t now_ms, Up *u, Model *model, double gain)
 {
     mp_set_goal(u, model);
-    u->goal_until_ms = now_ms + GOAL_LIFE_MS;
+    u->goal_until_ms = now_ms + GOAL_TIMEOUT_MS;
     u->goal_gain = gain;
     model->replicas++;
     mp_pursue_goal(m, now_ms, u);
 }
 
 static gint
-compare_wanted(gconstpointer a, gconstpointer b)
+compare_shortages(gconstpointer a, gconstpointer b)
 {
-    const Wanted *x = a;
-    const Wanted *y = b;
+    const Shortage *x = a;
+    const Shortage *y = b;
     if (x->gain != y->gain) {
         return x->gain > y->gain ? -1 : 1;
     }
@@ -535,7 +543,7 @@
    refused at once count, or a model that many ask for would be loaded after
    each that a single patient caller waits for. */
 static double
-get_missing(const Demand *d, uint64_t now_ms)
+get_unserved_rate(const Demand *d, uint64_t now_ms)
 {
     return d->waiting + mp_get_rate(d, now_ms);
 }
@@ -543,9 +551,9 @@
 /* Models that lack replicas, those with most to gain first; ALL: also those
    for which a place was looked for just now. */
 GArray *
-mp_list_wanted(const Mp *m, uint64_t now_ms, bool all)
+mp_list_shortages(const Mp *m, uint64_t now_ms, bool all)
 {
-    GArray *out = g_array_new(FALSE, FALSE, sizeof(Wanted));
+    GArray *out = g_array_new(FALSE, FALSE, sizeof(Shortage));
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->models);
@@ -556,32 +564,32 @@
             continue;
         }
         uint32_t have = model->replicas;
-        Wanted w = {.model = model,
-                    .since_ms =
-                        d->wanted_since_ms ? d->wanted_since_ms : now_ms,
-                    .none = have == 0};
-        w.gain =
-            w.none ? get_missing(d, now_ms) : get_gain(model, now_ms, have);
-        if (w.gain > (w.none ? UNASKED_LOSS : GAIN_OF_MORE)) {
+        Shortage w = {.model = model,
+                      .since_ms =
+                          d->waiting_since_ms ? d->waiting_since_ms : now_ms,
+                      .none = have == 0};
+        w.gain = w.none ? get_unserved_rate(d, now_ms)
+                        : get_gain(model, now_ms, have);
+        if (w.gain > (w.none ? IDLE_MODEL_LOSS : MIN_REPLICA_GAIN)) {
             g_array_append_val(out, w);
         }
     }
-    g_array_sort(out, compare_wanted);
+    g_array_sort(out, compare_shortages);
     return out;
 }
 
 void
 mp_place_models(Mp *m, uint64_t now_ms)
 {
-    g_autoptr(GArray) wanted = mp_list_wanted(m, now_ms, false);
+    g_autoptr(GArray) wanted = mp_list_shortages(m, now_ms, false);
     for (guint i = 0; i < wanted->len; i++) {
-        const Wanted *w = &g_array_index(wanted, Wanted, i);
-        Up *u = find_best_place(m, now_ms, w);
+        const Shortage *w = &g_array_index(wanted, Shortage, i);
+        Up *u = find_best_upstream(m, now_ms, w);
         if (u) {
             begin_goal(m, now_ms, u, w->model, w->gain);
         }
         else {
-            w->model->demand.next_try_ms = now_ms + TRY_PAUSE_MS;
+            w->model->demand.next_try_ms = now_ms + RETRY_INTERVAL_MS;
         }
     }
 }
@@ -600,7 +608,7 @@
 }
 
 bool
-mp_is_copied(const Model *model)
+mp_is_cached(const Model *model)
 {
     return has_usable(model->holders) || has_usable(model->copies) ||
            has_usable(model->goals);
@@ -625,11 +633,12 @@
     g_hash_table_iter_init(&it, s->models);
     while (g_hash_table_iter_next(&it, &k, NULL)) {
         Model *model = mp_get_model(m, k);
-        if (mp_is_copied(model)) {
+        if (mp_is_cached(model)) {
             continue;
         }
-        Wanted w = {.model = model, .gain = PREFETCH_GAIN, .since_ms = now_ms};
-        Up *u = find_best_place(m, now_ms, &w);
+        Shortage w = {
+            .model = model, .gain = PREFETCH_GAIN, .since_ms = now_ms};
+        Up *u = find_best_upstream(m, now_ms, &w);
         if (u) {
             begin_goal(m, now_ms, u, model, w.gain);
             return;
@@ -643,7 +652,7 @@
     if (!m->params.prefetch || now_ms < m->next_prefetch_ms) {
         return;
     }
-    m->next_prefetch_ms = now_ms + PREFETCH_MS;
+    m->next_prefetch_ms = now_ms + PREFETCH_INTERVAL_MS;
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->config->services);
--- a/src/mp_store.c
+++ b/src/mp_store.c
@@ -6,10 +6,10 @@
 /* Ended in its stated time: so much more, and the lag of the word of it. */
 #define IN_TIME_SHARE 0.1
 #define IN_TIME_MS 450
-#define BESIDE_SHARE 0.25 /* of a load's time, that others were beside it */
-#define LATE_MS 1000      /* a load that is overdue ends about then */
+#define OVERLAP_SHARE 0.25 /* of a load's time, that others were beside it */
+#define OVERDUE_MS 1000    /* a load that is overdue ends about then */
 /* The store may have been slow for other reasons: more are tried again. */
-#define STORE_MEMORY_MS 60000
+#define CEILING_LIFETIME_MS 60000
 
 /* Replicas that are being loaded from the store. */
 static GPtrArray *
@@ -23,7 +23,7 @@
         const Up *u = v;
         for (guint i = 0; i < u->replicas->len; i++) {
             Replica *r = u->replicas->pdata[i];
-            if (r->ready_ms == WHEN_TOLD) {
+            if (r->ready_ms == WHEN_REPORTED) {
                 g_ptr_array_add(loads, r);
             }
         }
@@ -57,19 +57,22 @@
 /* ---- how many it serves ---- */
 
 void
-mp_sum_store_loads(Mp *m, uint64_t now_ms)
+mp_integrate_store_loads(Mp *m, uint64_t now_ms)
 {
-    m->loads_ms += (double)(now_ms - m->loads_summed_ms) * m->loads_beside;
-    m->loads_summed_ms = now_ms;
-    m->loads_beside = mp_count_store_loads(m);
+    m->load_integral_ms +=
+        (double)(now_ms - m->load_integral_at_ms) * m->loads_in_flight;
+    m->load_integral_at_ms = now_ms;
+    m->loads_in_flight = mp_count_store_loads(m);
 }
 
 /* Loads side by side while R was loaded, in the mean. */
 static double
-get_loads_beside(const Mp *m, uint64_t now_ms, const Replica *r)
+get_mean_concurrency(const Mp *m, uint64_t now_ms, const Replica *r)
 {
     double passed_ms = (double)(now_ms - r->ordered_ms);
-    return passed_ms > 0 ? (m->loads_ms - r->loads_before_ms) / passed_ms : 1;
+    return passed_ms > 0
+               ? (m->load_integral_ms - r->integral_at_start_ms) / passed_ms
+               : 1;
 }
 
 /* Beyond what the store serves at full speed all loads take longer, in
@@ -79,7 +82,7 @@
 note_late_load(Mp *m, uint64_t now_ms, const Replica *r)
 {
     double stated_ms = (double)(r->expected_ms - r->ordered_ms);
-    double served = get_loads_beside(m, now_ms, r) * stated_ms /
+    double served = get_mean_concurrency(m, now_ms, r) * stated_ms /
                     (double)(now_ms - r->ordered_ms);
     m->store.most = MAX((uint32_t)lround(served), 1);
     m->store.at_once = MIN(m->store.at_once, m->store.most);
@@ -90,34 +93,35 @@
    it and more are served at full speed; where that holds of two and more, one
    more is begun at once: it can cost the others a half of their time. */
 void
-mp_learn_from_end(Mp *m, uint64_t now_ms, const Replica *r)
+mp_on_store_load_end(Mp *m, uint64_t now_ms, const Replica *r)
 {
     uint64_t stated_ms = r->expected_ms - r->ordered_ms;
     uint64_t limit_ms = r->expected_ms +
                         (uint64_t)((double)stated_ms * IN_TIME_SHARE) +
                         IN_TIME_MS;
-    if (m->store.most && now_ms > m->store_late_ms + STORE_MEMORY_MS) {
+    if (m->store.most && now_ms > m->store_late_ms + CEILING_LIFETIME_MS) {
         m->store.most = 0;
     }
     if (now_ms > limit_ms) {
         note_late_load(m, now_ms, r);
         return;
     }
-    double beside = get_loads_beside(m, now_ms, r) + 1 - BESIDE_SHARE;
-    uint32_t served = MAX((uint32_t)beside, 1);
+    double concurrency =
+        get_mean_concurrency(m, now_ms, r) + 1 - OVERLAP_SHARE;
+    uint32_t served = MAX((uint32_t)concurrency, 1);
     uint32_t next = served > 1 ? served + 1 : 1;
-    uint32_t most = m->store.most ? m->store.most : MP_MOST_AT_ONCE;
+    uint32_t most = m->store.most ? m->store.most : MP_MAX_STORE_LOADS;
     m->store.at_once = MAX(m->store.at_once, MIN(next, most));
 }
 
 /* Beyond what the store serves at full speed all loads take longer, so none
    of them comes in time: fewer at once, of those that are missed most. */
 void
-mp_learn_from_lateness(Mp *m, uint64_t now_ms, Up *u)
+mp_check_overdue_loads(Mp *m, uint64_t now_ms, Up *u)
 {
     for (guint i = 0; i < u->replicas->len; i++) {
         Replica *r = u->replicas->pdata[i];
-        if (r->ready_ms != WHEN_TOLD || r->late) {
+        if (r->ready_ms != WHEN_REPORTED || r->late) {
             continue;
         }
         uint64_t stated_ms = r->expected_ms - r->ordered_ms;
@@ -129,14 +133,14 @@
 }
 
 void
-mp_set_store_rate(Mp *m, MpStoreRate rate)
+mp_set_store_limits(Mp *m, MpStoreLimits rate)
 {
-    m->store.at_once = CLAMP(rate.at_once, 1, MP_MOST_AT_ONCE);
-    m->store.most = MIN(rate.most, MP_MOST_AT_ONCE);
+    m->store.at_once = CLAMP(rate.at_once, 1, MP_MAX_STORE_LOADS);
+    m->store.most = MIN(rate.most, MP_MAX_STORE_LOADS);
 }
 
-MpStoreRate
-mp_get_store_rate(const Mp *m)
+MpStoreLimits
+mp_get_store_limits(const Mp *m)
 {
     return m->store;
 }
@@ -149,7 +153,7 @@
 #define TRIAL_PROGRESS 0.75
 
 static bool
-may_try_one_more(const Mp *m, uint64_t now_ms, uint32_t loads)
+may_try_more(const Mp *m, uint64_t now_ms, uint32_t loads)
 {
     if (loads > m->store.at_once ||
         (m->store.most && loads + 1 > m->store.most)) {
@@ -171,13 +175,13 @@
 
 /* The weight store allows a number of loads begun in any window. */
 #define STORE_WINDOW_MS 5000
-#define STORE_CAUTION 0.85
-#define MOST_BEFORE 2 /* loads that go before others, at most */
-#define MISSED_MORE 3 /* times the callers */
+#define STORE_RATE_SHARE 0.85
+#define MAX_OVERTAKING 2 /* loads that go before others, at most */
+#define OVERTAKE_RATIO 3 /* times the callers */
 
 /* Callers that miss what the weight store is loading now. */
 static double
-count_missing_loads(const Mp *m, uint64_t now_ms)
+count_callers_of_loads(const Mp *m, uint64_t now_ms)
 {
     double n = 0;
     g_autoptr(GPtrArray) loads = list_loads(m);
@@ -193,10 +197,10 @@
    this one is there no later than if it had waited, the others take up to
    twice their time. */
 static bool
-goes_before(const Mp *m, uint64_t now_ms, double gain, uint32_t loads)
+may_overtake(const Mp *m, uint64_t now_ms, double gain, uint32_t loads)
 {
-    return loads < m->store.at_once + MOST_BEFORE &&
-           gain > MISSED_MORE * (count_missing_loads(m, now_ms) + 1);
+    return loads < m->store.at_once + MAX_OVERTAKING &&
+           gain > OVERTAKE_RATIO * (count_callers_of_loads(m, now_ms) + 1);
 }
 
 bool
@@ -209,19 +213,19 @@
         g_array_remove_index(m->store_starts, 0);
     }
     if (m->store_starts->len + 1 >
-        s->loads_per_s * STORE_WINDOW_MS / 1000 * STORE_CAUTION) {
+        s->loads_per_s * STORE_WINDOW_MS / 1000 * STORE_RATE_SHARE) {
         return false;
     }
     uint32_t loads = mp_count_store_loads(m);
-    return loads < m->store.at_once || may_try_one_more(m, now_ms, loads) ||
-           goes_before(m, now_ms, gain, loads);
+    return loads < m->store.at_once || may_try_more(m, now_ms, loads) ||
+           may_overtake(m, now_ms, gain, loads);
 }
 
 /* It was not begun: counted, the two or three orders that are turned away
    while an upstream makes room would use up what the store allows in a
    window, and a model that everybody misses would wait for that. */
 void
-mp_forget_store_start(Mp *m, uint64_t order_ms)
+mp_cancel_store_start(Mp *m, uint64_t order_ms)
 {
     for (guint i = m->store_starts->len; i > 0; i--) {
         if (g_array_index(m->store_starts, uint64_t, i - 1) == order_ms) {
@@ -241,7 +245,7 @@
     g_autoptr(GPtrArray) loads = list_loads(m);
     for (guint i = 0; i < loads->len && i < m->store.at_once; i++) {
         const Replica *r = loads->pdata[i];
-        free_in_ms[i] = MAX(r->expected_ms, now_ms + LATE_MS) - now_ms;
+        free_in_ms[i] = MAX(r->expected_ms, now_ms + OVERDUE_MS) - now_ms;
     }
 }
 
--- a/src/mp_tell.c
+++ b/src/mp_tell.c
@@ -2,10 +2,11 @@
 
 /* Between beginnings on an upstream, before anything is learnt: reading a
    prompt of 3,000 tokens. */
-#define FIRST_PAUSE_MS 80.
-#define MOST_PAUSE_MS 1000 /* a longer silence of ours tells nothing */
-#define PAUSE_WEIGHT 0.3   /* of a new sample: about the last second decides */
-#define QUEUE_TO_LEARN 3   /* so many wait: the upstream is not idle */
+#define INITIAL_INTERVAL_MS 80.
+#define MAX_SAMPLE_MS 1000 /* a longer silence of ours tells nothing */
+#define SAMPLE_WEIGHT 0.3  /* of a new sample: about the last second decides  \
+                            */
+#define MIN_QUEUED 3       /* so many wait: the upstream is not idle */
 
 /* ---- what upstreams hold ---------------------------------------------------
  */
@@ -32,11 +33,11 @@
 }
 
 void
-mp_tell(Mp *m, Up *u, uint64_t now_ms)
+mp_publish(Mp *m, Up *u, uint64_t now_ms)
 {
     DepUpstream *view = make_view(u, now_ms);
     u->told = true;
-    m->out.placed(m->out.ctx, u->entry->id, view->models);
+    m->out.publish(m->out.ctx, u->entry->id, view->models);
     dep_destroy_upstream(view);
 }
 
@@ -64,24 +65,24 @@
 /* Only where requests wait does the pause between beginnings tell how fast
    the upstream is, and not how seldom it is asked. */
 static void
-learn_pause(Up *u, uint64_t now_ms)
+sample_start_interval(Up *u, uint64_t now_ms)
 {
-    uint64_t passed_ms = now_ms - u->looked_ms;
-    Load *l = u->load;
-    bool waited =
-        u->queued_before >= QUEUE_TO_LEARN && l->queued >= QUEUE_TO_LEARN;
-    if (u->pause_ms == 0) {
-        u->pause_ms = FIRST_PAUSE_MS;
+    uint64_t passed_ms = now_ms - u->sampled_ms;
+    UpstreamLoad *l = u->load;
+    bool waited = u->last_queued >= MIN_QUEUED && l->queued >= MIN_QUEUED;
+    if (u->start_interval_ms == 0) {
+        u->start_interval_ms = INITIAL_INTERVAL_MS;
     }
-    if (waited && passed_ms <= MOST_PAUSE_MS) {
-        double pause_ms = (double)passed_ms / MAX(l->began, 1);
-        if (l->began > 0 || pause_ms > u->pause_ms) {
-            u->pause_ms += PAUSE_WEIGHT * (pause_ms - u->pause_ms);
+    if (waited && passed_ms <= MAX_SAMPLE_MS) {
+        double start_interval_ms = (double)passed_ms / MAX(l->began, 1);
+        if (l->began > 0 || start_interval_ms > u->start_interval_ms) {
+            u->start_interval_ms +=
+                SAMPLE_WEIGHT * (start_interval_ms - u->start_interval_ms);
         }
     }
     l->began = 0;
-    u->queued_before = l->queued;
-    u->looked_ms = now_ms;
+    u->last_queued = l->queued;
+    u->sampled_ms = now_ms;
 }
 
 /* ---- loads ------------------------------------------------------------- */
@@ -92,10 +93,10 @@
 /* Gateways see few answers of each upstream: alone they can't tell one that is
    busy from one that hangs. */
 static bool
-is_stalled(const Load *l, uint64_t now_ms)
+is_stalled(const UpstreamLoad *l, uint64_t now_ms)
 {
-    return l->queued_ms &&
-           now_ms > MAX(l->queued_ms, l->began_ms) + STALLED_MS;
+    return l->queued_since_ms &&
+           now_ms > MAX(l->queued_since_ms, l->began_ms) + STALLED_MS;
 }
 
 void
@@ -109,12 +110,13 @@
     g_hash_table_iter_init(&it, m->ups);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Up *u = v;
-        Load *l = u->load;
+        UpstreamLoad *l = u->load;
         if (!u->service) {
             continue;
         }
-        learn_pause(u, now_ms);
-        MpLoad load = {l->running, (uint32_t)(l->queued * u->pause_ms),
+        sample_start_interval(u, now_ms);
+        MpLoad load = {l->running,
+                       (uint32_t)(l->queued * u->start_interval_ms),
                        is_stalled(l, now_ms)};
         if (load.running > 0) {
             visit(ctx, u->entry->id, &load);
@@ -127,13 +129,13 @@
 static uint32_t
 get_replica_wait_ms(const Replica *r, uint64_t now_ms)
 {
-    uint64_t ready_ms = r->ready_ms == WHEN_TOLD
+    uint64_t ready_ms = r->ready_ms == WHEN_REPORTED
                             ? MAX(r->expected_ms, now_ms + 1)
                             : r->ready_ms;
     return ready_ms > now_ms ? (uint32_t)(ready_ms - now_ms) : 0;
 }
 
-#define GOAL_MS 100 /* from a goal to its order, about */
+#define ORDER_DELAY_MS 100 /* from a goal to its order, about */
 
 static uint32_t
 get_wait_ms(uint64_t now_ms, const Model *model)
@@ -151,8 +153,8 @@
         const DepModel *d = mp_find_declared(u, model);
         bool from_store;
         if (mp_can_use(u) && d && !mp_find_replica(u, model)) {
-            best =
-                MIN(best, mp_get_load_ms(u, d, model, &from_store) + GOAL_MS);
+            best = MIN(best, mp_get_load_ms(u, d, model, &from_store) +
+                                 ORDER_DELAY_MS);
         }
     }
     return best;
@@ -181,10 +183,10 @@
     if (!m->config) {
         return;
     }
-    uint64_t free_in_ms[MP_MOST_AT_ONCE] = {0};
+    uint64_t free_in_ms[MP_MAX_STORE_LOADS] = {0};
     mp_list_store_slots(m, now_ms, free_in_ms);
     mp_count_replicas(m);
-    g_autoptr(GArray) wanted = mp_list_wanted(m, now_ms, true);
+    g_autoptr(GArray) wanted = mp_list_shortages(m, now_ms, true);
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->models);
@@ -198,8 +200,8 @@
     }
     /* Those that need the weight store take turns there. */
     for (guint i = 0; i < wanted->len; i++) {
-        const Wanted *w = &g_array_index(wanted, Wanted, i);
-        if (w->none && !mp_is_copied(w->model)) {
+        const Shortage *w = &g_array_index(wanted, Shortage, i);
+        if (w->none && !mp_is_cached(w->model)) {
             uint64_t *first = mp_pick_first_slot(m, free_in_ms);
             *first += get_longest_load_ms(m, w->model);
             visit(ctx, w->model->name, (uint32_t)*first);
--- a/tests/bench_mp.c
+++ b/tests/bench_mp.c
@@ -14,9 +14,9 @@
 #define DISK_MS 450
 #define STORE_MS 13200
 #define COPIES 5
-#define TELL_MS 200
+#define REPORT_MS 200
 #define TICK_MS 20
-#define STAY_MS 1200
+#define REQUEST_MS 1200
 
 typedef struct {
     DepUpstream *state;
@@ -47,7 +47,7 @@
     uint32_t rate;
     GArray *requests;  /* Request */
     uint32_t *arrived; /* by gateway and model */
-    uint32_t *want_of; /* by model: its want in what is told, from 1 */
+    uint32_t *row_of;  /* by model: its want in what is told, from 1 */
     uint64_t now_ms;
     uint32_t due; /* thousandths of a request */
     uint64_t orders;
@@ -87,14 +87,14 @@
 }
 
 static void
-on_ask(void *ctx, const DepUpstream *of)
+on_request_report(void *ctx, const DepUpstream *of)
 {
     Bench *b = ctx;
     ((Engine *)g_hash_table_lookup(b->index, of->id))->asked = true;
 }
 
 static void
-on_placed(void *ctx, const char *upstream, const GPtrArray *models)
+on_publish(void *ctx, const char *upstream, const GPtrArray *models)
 {
     (void)ctx;
     (void)upstream;
@@ -109,12 +109,12 @@
 }
 
 static void
-on_judged(void *ctx, const char *model, double good, double slow, double load,
-          uint32_t replicas)
+on_capacity_estimated(void *ctx, const char *model, double capacity,
+                      double slow, double load, uint32_t replicas)
 {
     (void)ctx;
     (void)model;
-    (void)good;
+    (void)capacity;
     (void)slow;
     (void)load;
     (void)replicas;
@@ -136,7 +136,7 @@
     }
     if (e->ordered) {
         e->ordered = false;
-        MpOrderEnd end = MP_ORDER_TAKEN;
+        MpOrderResult end = MP_ORDER_ACCEPTED;
         if (e->coming || e->order.sequence != e->state->sequence) {
             end = MP_ORDER_CONFLICT;
         }
@@ -153,7 +153,7 @@
                         g_ptr_array_remove_index(r->adapters, i);
                     }
                 }
-                end = MP_ORDER_HOLDS;
+                end = MP_ORDER_NO_CHANGE;
             }
             else if (!e->order_adapter && e->order.unload && r) {
                 g_ptr_array_remove(e->state->models, r);
@@ -165,7 +165,7 @@
         }
         g_clear_pointer(&e->order_model, g_free);
         g_clear_pointer(&e->order_adapter, g_free);
-        MEASURE(mp_on_order_end(b->mp, b->now_ms, e->state->id, end));
+        MEASURE(mp_on_order_result(b->mp, b->now_ms, e->state->id, end));
     }
     if (e->asked) {
         e->asked = false;
@@ -217,7 +217,7 @@
         if (r->engine < 0 && b->now_ms % 10 == 0) {
             g_autofree char *name = name_model(r->model);
             r->engine = find_engine_of(b, name);
-            r->end_ms = b->now_ms + STAY_MS;
+            r->end_ms = b->now_ms + REQUEST_MS;
         }
         if (r->engine >= 0 && b->now_ms >= r->end_ms) {
             g_array_remove_index_fast(b->requests, i);
@@ -229,24 +229,24 @@
 
 /* What GATEWAY has; the ledger before the core is part of what is measured. */
 static void
-tell(Bench *b, uint32_t gateway)
+report_gateway(Bench *b, uint32_t gateway)
 {
     DmDemand *d = dm_create_demand(true);
-    memset(b->want_of, 0, sizeof(uint32_t) * b->models);
-    uint32_t *want_of = b->want_of;
+    memset(b->row_of, 0, sizeof(uint32_t) * b->models);
+    uint32_t *row_of = b->row_of;
     for (guint i = 0; i < b->requests->len; i++) {
         const Request *r = &g_array_index(b->requests, Request, i);
         if (r->gateway != gateway) {
             continue;
         }
-        if (!want_of[r->model]) {
+        if (!row_of[r->model]) {
             g_autofree char *name = name_model(r->model);
-            DmWant *w = dm_add_want(d, name, NULL);
+            DmModelDemand *w = dm_add_model_demand(d, name, NULL);
             w->arrived = b->arrived[gateway * b->models + r->model];
             b->arrived[gateway * b->models + r->model] = 0;
-            want_of[r->model] = d->wants->len;
+            row_of[r->model] = d->wants->len;
         }
-        DmWant *w = d->wants->pdata[want_of[r->model] - 1];
+        DmModelDemand *w = d->wants->pdata[row_of[r->model] - 1];
         if (r->engine < 0) {
             w->waiting++;
             continue;
@@ -257,7 +257,7 @@
     }
     char name[16];
     snprintf(name, sizeof(name), "g%u", gateway);
-    MEASURE(dm_take(b->demand, b->now_ms, name, d));
+    MEASURE(dm_apply(b->demand, b->now_ms, name, d));
     dm_destroy_demand(d);
 }
 
@@ -279,8 +279,9 @@
     uint32_t waiting = 0;
     for (uint64_t end = b->now_ms + for_ms; b->now_ms < end; b->now_ms++) {
         arrive(b);
-        for (uint32_t g = b->now_ms % TELL_MS; g < b->gateways; g += TELL_MS) {
-            tell(b, g);
+        for (uint32_t g = b->now_ms % REPORT_MS; g < b->gateways;
+             g += REPORT_MS) {
+            report_gateway(b, g);
         }
         if (b->now_ms % TICK_MS == 0) {
             MEASURE(tick(b));
@@ -306,7 +307,8 @@
 start(Bench *b)
 {
     MpParams p = {true};
-    MpOutput out = {b, on_order, on_ask, on_placed, on_away, on_judged};
+    MpOutput out = {b,          on_order, on_request_report,
+                    on_publish, on_away,  on_capacity_estimated};
     b->mp = mp_create(&p, &out);
     b->demand = dm_create();
     DepConfig *c = dep_create_config();
@@ -350,7 +352,7 @@
         g_hash_table_insert(b->index, u->id, &b->engines[i]);
         mp_on_entry(b->mp, b->now_ms, u);
     }
-    mp_begin(b->mp, b->now_ms);
+    mp_on_lease_gained(b->mp, b->now_ms);
 }
 
 static void
@@ -358,7 +360,7 @@
 {
     for (uint32_t i = 0; i < b->engine_count; i += 2) {
         Engine *e = &b->engines[i];
-        mp_on_gone(b->mp, e->state->id);
+        mp_on_removed(b->mp, e->state->id);
         g_ptr_array_set_size(e->state->models, 0);
         e->state->born_ms++;
         e->state->sequence = 0;
@@ -388,7 +390,7 @@
                .now_ms = 100000};
     bg_seed_random(&b.rng, 1);
     b.requests = g_array_new(FALSE, TRUE, sizeof(Request));
-    b.want_of = g_new0(uint32_t, b.models);
+    b.row_of = g_new0(uint32_t, b.models);
     b.arrived = g_new0(uint32_t, (size_t)b.gateways * b.models);
     start(&b);
     run(&b, 5000, "warm");
--- a/tests/script_dm.c
+++ b/tests/script_dm.c
@@ -19,7 +19,7 @@
 
 typedef struct {
     Dm *ledger;
-    DmDemand *word; /* that is being read */
+    DmDemand *update; /* that is being read */
     char *source;
     uint64_t now_ms;
 } Script;
@@ -31,10 +31,10 @@
 }
 
 static void
-read_want(const Script *s, char **words, int count)
+read_model_demand(const Script *s, char **words, int count)
 {
     g_auto(GStrv) names = g_strsplit(words[1], "/", 2);
-    DmWant *w = dm_add_want(s->word, names[0], names[1]);
+    DmModelDemand *w = dm_add_model_demand(s->update, names[0], names[1]);
     w->waiting = get_number(words, count, 2);
     w->running = get_number(words, count, 3);
     w->arrived = get_number(words, count, 4);
@@ -46,18 +46,18 @@
 read_use(const Script *s, char **words, int count)
 {
     g_auto(GStrv) names = g_strsplit(words[2], "/", 2);
-    DmUse *u = dm_add_use(s->word, words[1], names[0], names[1]);
+    DmUse *u = dm_add_use(s->update, words[1], names[0], names[1]);
     u->running = get_number(words, count, 3);
     u->queued = get_number(words, count, 4);
 }
 
 static void
-take_word(Script *s)
+apply_update(Script *s)
 {
-    if (dm_take(s->ledger, s->now_ms, s->source, s->word)) {
+    if (dm_apply(s->ledger, s->now_ms, s->source, s->update)) {
         puts("more wait");
     }
-    dm_destroy_demand(s->word);
+    dm_destroy_demand(s->update);
     g_free(s->source);
 }
 
@@ -72,7 +72,7 @@
 {
     g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < d->wants->len; i++) {
-        const DmWant *w = d->wants->pdata[i];
+        const DmModelDemand *w = d->wants->pdata[i];
         g_ptr_array_add(
             lines,
             g_strdup_printf("want %s%s%s waiting %u running %u arrived "
@@ -111,25 +111,25 @@
     }
     else if (strcmp(verb, "word") == 0 && count == 3) {
         s->source = g_strdup(words[1]);
-        s->word = dm_create_demand(strcmp(words[2], "whole") == 0);
+        s->update = dm_create_demand(strcmp(words[2], "whole") == 0);
     }
     else if (strcmp(verb, "want") == 0 && count >= 4) {
-        read_want(s, words, count);
+        read_model_demand(s, words, count);
     }
     else if (strcmp(verb, "use") == 0 && count == 5) {
         read_use(s, words, count);
     }
     else if (strcmp(verb, "began") == 0 && count == 3) {
-        dm_add_began(s->word, words[1], get_number(words, count, 2));
+        dm_add_began(s->update, words[1], get_number(words, count, 2));
     }
     else if (strcmp(verb, "end") == 0) {
-        take_word(s);
+        apply_update(s);
     }
     else if (strcmp(verb, "drop") == 0 && count == 2) {
-        dm_drop(s->ledger, words[1]);
+        dm_remove_source(s->ledger, words[1]);
     }
     else if (strcmp(verb, "silent") == 0 && count == 2) {
-        dm_drop_silent(s->ledger, s->now_ms, get_number(words, count, 1));
+        dm_expire_sources(s->ledger, s->now_ms, get_number(words, count, 1));
     }
     else if (strcmp(verb, "collect") == 0 && count == 2) {
         DmDemand *d = dm_collect(s->ledger, strcmp(words[1], "whole") == 0);
