--- a/src/cli_timeline.c
+++ b/src/cli_timeline.c
@@ -76,7 +76,7 @@
     case 202:
         return COL_TAKEN;
     case 0:
-        /* Neither sent nor answered: MpOrderEnd tells which. */
+        /* Neither sent nor answered: MpOrderResult tells which. */
         return json_integer_value(json_object_get(f, "end")) == 4
                    ? COL_UNSENT
                    : COL_UNANSWERED;
--- a/src/gn_demand.c
+++ b/src/gn_demand.c
@@ -46,7 +46,8 @@
     DmDemand *demand = dm_create_demand(d->whole);
     for (size_t i = 0; i < d->n_wants; i++) {
         const Gwp__Want *x = d->wants[i];
-        DmWant *w = dm_add_want(demand, x->model, to_adapter(x->adapter));
+        DmModelDemand *w =
+            dm_add_model_demand(demand, x->model, to_adapter(x->adapter));
         w->waiting = x->waiting;
         w->running = x->running;
         w->arrived = x->arrived;
@@ -86,7 +87,7 @@
 {
     take_spent(g, bg_boot_ms(), d);
     DmDemand *demand = read_demand(d);
-    bool more = dm_take(g->demand, bg_boot_ms(), from, demand);
+    bool more = dm_apply(g->demand, bg_boot_ms(), from, demand);
     dm_destroy_demand(demand);
     if (more && g->placing) {
         gn_place_soon(g);
@@ -98,7 +99,7 @@
 void
 gn_update_placement(Gateway *g, uint64_t now_ms)
 {
-    dm_drop_silent(g->demand, now_ms, DEMAND_LIFE_MS);
+    dm_expire_sources(g->demand, now_ms, DEMAND_LIFE_MS);
     DmDemand *sums = dm_collect(g->demand, g->sums_due);
     g->sums_due = false;
     mp_on_demand(g->placement, now_ms, sums);
@@ -198,7 +199,7 @@
     l->wants = g_new0(Gwp__Want, wants->len + 1);
     l->want_refs = g_new0(Gwp__Want *, wants->len + 1);
     for (guint i = 0; i < wants->len; i++) {
-        const DmWant *x = wants->pdata[i];
+        const DmModelDemand *x = wants->pdata[i];
         Gwp__Want *w = &l->wants[i];
         gwp__want__init(w);
         w->model = x->model;
@@ -314,7 +315,7 @@
 take_own_demand(Gateway *g, uint64_t now_ms)
 {
     DmDemand *own = gw_collect_demand(g->gw);
-    bool more = dm_take(g->demand, now_ms, gn_get_text(g, "name"), own);
+    bool more = dm_apply(g->demand, now_ms, gn_get_text(g, "name"), own);
     dm_destroy_demand(own);
     return more;
 }
@@ -332,7 +333,7 @@
 {
     uint64_t now_ms = bg_boot_ms();
     g->demand_ms = now_ms;
-    dm_drop_silent(g->demand, now_ms, DEMAND_LIFE_MS);
+    dm_expire_sources(g->demand, now_ms, DEMAND_LIFE_MS);
     bool more = take_own_demand(g, now_ms);
     if (g->placing) {
         if (more) {
--- a/src/gn_links.c
+++ b/src/gn_links.c
@@ -324,7 +324,7 @@
     s.address = (char *)gn_get_address(g);
     s.sent_ms = now_ms;
     s.idle = !g->placing;
-    MpStoreRate rate = mp_get_store_rate(g->placement);
+    MpStoreLimits rate = mp_get_store_limits(g->placement);
     s.store_at_once = rate.at_once;
     s.store_most = rate.most;
     Gwp__Frame f = GWP__FRAME__INIT;
@@ -458,7 +458,7 @@
         g_hash_table_add(ids, x->id);
         gn_take_upstream(g, now_ms, read_upstream(x));
         if (x->draining) {
-            mp_on_leaving(g->placement, x->id);
+            mp_on_draining(g->placement, x->id);
         }
         ut_on_placement(g->upstreams, now_ms, x->id,
                         gn_read_residents(x->n_residents, x->residents));
@@ -489,7 +489,7 @@
             u->models = gn_read_residents(x->n_residents, x->residents);
         }
         if (x->draining) {
-            mp_on_leaving(g->placement, x->id);
+            mp_on_draining(g->placement, x->id);
         }
         news = gn_take_upstream(g, now_ms, u) || news;
     }
@@ -533,7 +533,7 @@
 {
     uint64_t now_ms = bg_boot_ms();
     gn_set_placer(g, s->address);
-    uint64_t sent_ms = now_ms - lag_note(&g->uplink.lag, now_ms, s->sent_ms);
+    uint64_t sent_ms = now_ms - lag_update(&g->uplink.lag, now_ms, s->sent_ms);
     g->placer_ms = MAX(g->placer_ms, sent_ms);
     g->fleet = s->gateways;
     g->placer_reads = s->reads_store;
@@ -548,8 +548,8 @@
     if (s->informed && g->behind_ms == 0) {
         g->confirmed_ms = sent_ms;
     }
-    MpStoreRate rate = {s->store_at_once, s->store_most};
-    mp_set_store_rate(g->placement, rate);
+    MpStoreLimits rate = {s->store_at_once, s->store_most};
+    mp_set_store_limits(g->placement, rate);
     for (size_t i = 0; i < s->n_waits; i++) {
         gw_on_wait(g->gw, now_ms, s->waits[i]->model, s->waits[i]->wait_ms);
     }
@@ -663,7 +663,7 @@
         if (gn_take_demand(g, lk_get_vm(from), f->demand) && !g->placing) {
             gn_want(g); /* passed on at once */
         }
-        lk_set_urgent(from, dm_waits(g->demand, lk_get_vm(from)));
+        lk_set_urgent(from, dm_has_waiting(g->demand, lk_get_vm(from)));
         break;
     case GWP__FRAME__BODY_DEATH:
         take_death(g, from, f->death);
--- a/src/gn_place.c
+++ b/src/gn_place.c
@@ -51,7 +51,7 @@
 } OrderCtx;
 
 static void
-on_order_end(void *ctx, MpOrderEnd end, uint16_t status)
+on_order_end(void *ctx, MpOrderResult end, uint16_t status)
 {
     OrderCtx *o = ctx;
     JlLine *l = jl_begin("order-end");
@@ -64,7 +64,7 @@
     jl_number(l, "from_store", o->from_store);
     jl_number(l, "sequence", (int64_t)o->sequence);
     jl_end(l);
-    mp_on_order_end(o->g->placement, bg_boot_ms(), o->upstream, end);
+    mp_on_order_result(o->g->placement, bg_boot_ms(), o->upstream, end);
     gn_place_soon(o->g);
     g_free(o->upstream);
     g_free(o->model);
@@ -189,7 +189,7 @@
 gn_suspect(Gateway *g, const char *upstream)
 {
     if (g->placing) {
-        mp_on_suspicion(g->placement, bg_boot_ms(), upstream);
+        mp_on_suspected(g->placement, bg_boot_ms(), upstream);
         return;
     }
     Gwp__Unreached u = GWP__UNREACHED__INIT;
--- a/src/gn_relay.c
+++ b/src/gn_relay.c
@@ -319,7 +319,7 @@
     if (here) {
         return;
     }
-    dm_drop(g->demand, lk_get_vm(peer));
+    dm_remove_source(g->demand, lk_get_vm(peer));
     if (p) {
         free_member_info(p);
         lk_set_user(peer, NULL);
--- a/src/gn_store.c
+++ b/src/gn_store.c
@@ -130,7 +130,7 @@
 gn_drop_upstream(Gateway *g, uint64_t now_ms, const char *id)
 {
     ut_on_gone(g->upstreams, now_ms, id);
-    mp_on_gone(g->placement, id);
+    mp_on_removed(g->placement, id);
 }
 
 bool
--- a/src/gw.c
+++ b/src/gw.c
@@ -1457,18 +1457,18 @@
 typedef struct {
     uint64_t now_ms;
     DmDemand *demand;
-    GHashTable *wants; /* model or "model/adapter" -> DmWant */
+    GHashTable *wants; /* model or "model/adapter" -> DmModelDemand */
     GHashTable *uses;  /* "upstream model" or "upstream model/adapter" -> DmUse
                         */
 } Collection;
 
-static DmWant *
+static DmModelDemand *
 find_want(Collection *c, const char *model, const char *adapter)
 {
     g_autofree char *key = dep_make_key(model, adapter);
-    DmWant *w = g_hash_table_lookup(c->wants, key);
+    DmModelDemand *w = g_hash_table_lookup(c->wants, key);
     if (!w) {
-        w = dm_add_want(c->demand, model, adapter);
+        w = dm_add_model_demand(c->demand, model, adapter);
         g_hash_table_insert(c->wants, g_steal_pointer(&key), w);
     }
     return w;
@@ -1505,10 +1505,10 @@
 static void
 collect_request(Collection *c, const Req *q)
 {
-    DmWant *w = find_want(c, q->query.model, NULL);
-    DmWant *a = q->query.adapter
-                    ? find_want(c, q->query.model, q->query.adapter)
-                    : NULL;
+    DmModelDemand *w = find_want(c, q->query.model, NULL);
+    DmModelDemand *a = q->query.adapter
+                           ? find_want(c, q->query.model, q->query.adapter)
+                           : NULL;
     if (q->ut) {
         DmUse *u = find_use(c, q);
         w->running++;
@@ -1532,7 +1532,7 @@
     g_hash_table_iter_init(&it, counts);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         g_auto(GStrv) words = g_strsplit(k, "/", 2);
-        DmWant *w = find_want(c, words[0], words[1]);
+        DmModelDemand *w = find_want(c, words[0], words[1]);
         G_STRUCT_MEMBER(uint32_t, w, offset) = GPOINTER_TO_UINT(v);
     }
     g_hash_table_remove_all(counts);
@@ -1551,9 +1551,9 @@
             collect_request(&c, q);
         }
     }
-    collect_counts(&c, g->arrived, offsetof(DmWant, arrived));
-    collect_counts(&c, g->hurried, offsetof(DmWant, hurried));
-    collect_counts(&c, g->refused, offsetof(DmWant, refused));
+    collect_counts(&c, g->arrived, offsetof(DmModelDemand, arrived));
+    collect_counts(&c, g->hurried, offsetof(DmModelDemand, hurried));
+    collect_counts(&c, g->refused, offsetof(DmModelDemand, refused));
     GHashTableIter it;
     gpointer k;
     gpointer v;
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -292,7 +292,7 @@
         jl_end(l);
         g->sums_due = true;
         if (places) {
-            mp_begin(g->placement, now_ms);
+            mp_on_lease_gained(g->placement, now_ms);
         }
         else {
             ut_outdate_placement(g->upstreams);
--- a/tests/unit_gateway.c
+++ b/tests/unit_gateway.c
@@ -701,20 +701,20 @@
 {
     Lag l = {0};
     for (uint64_t sent_ms = 0; sent_ms < 4000; sent_ms += 200) {
-        uint64_t late_ms = lag_note(&l, 900000 + sent_ms, sent_ms);
+        uint64_t late_ms = lag_update(&l, 900000 + sent_ms, sent_ms);
         CU_ASSERT_EQUAL(late_ms, 0);
     }
     uint64_t late_ms = 0;
     for (uint64_t sent_ms = 4000; sent_ms < 10000; sent_ms += 200) {
         uint64_t queued_ms = (sent_ms - 4000) * 2;
-        late_ms = lag_note(&l, 900000 + sent_ms + queued_ms, sent_ms);
+        late_ms = lag_update(&l, 900000 + sent_ms + queued_ms, sent_ms);
         CU_ASSERT_EQUAL(late_ms, queued_ms);
     }
     CU_ASSERT(late_ms > 10000);
     /* Another link, and a clock that drifts by half a thousandth. */
     lag_reset(&l);
     for (uint64_t sent_ms = 0; sent_ms < 600000; sent_ms += 200) {
-        late_ms = lag_note(&l, 5000000 + sent_ms + sent_ms / 2000, sent_ms);
+        late_ms = lag_update(&l, 5000000 + sent_ms + sent_ms / 2000, sent_ms);
         CU_ASSERT(late_ms < 50);
     }
 }
@@ -944,7 +944,7 @@
     (void)replicas;
 }
 
-static MpOrderEnd
+static MpOrderResult
 carry_out(Site *s, Engine *e)
 {
     const MpOrder *o = &e->order;
@@ -972,9 +972,9 @@
                     g_ptr_array_remove_index(r->adapters, i);
                 }
             }
-            return MP_ORDER_HOLDS;
+            return MP_ORDER_NO_CHANGE;
         }
-        return MP_ORDER_TAKEN;
+        return MP_ORDER_ACCEPTED;
     }
     if (o->unload) {
         e->unloads++;
@@ -982,14 +982,14 @@
             e->used_mb -= MODEL_MB;
             g_ptr_array_remove(e->state->models, r);
         }
-        return MP_ORDER_TAKEN;
+        return MP_ORDER_ACCEPTED;
     }
     e->loads++;
     e->used_mb += MODEL_MB;
     s->overcommitted = s->overcommitted || e->used_mb > ENGINE_MB;
     e->coming = g_strdup(e->order_model);
     e->left_ms = s->load_ms;
-    return MP_ORDER_TAKEN;
+    return MP_ORDER_ACCEPTED;
 }
 
 static int
@@ -1021,7 +1021,7 @@
         mp_on_entry(s->mp, s->now_ms, e->state);
     }
     if (e->order.upstream) {
-        MpOrderEnd end = e->down ? MP_ORDER_NOT_SENT : carry_out(s, e);
+        MpOrderResult end = e->down ? MP_ORDER_NOT_SENT : carry_out(s, e);
         if (s->lose > 0) {
             s->lose--;
             end = MP_ORDER_UNKNOWN;
@@ -1029,7 +1029,7 @@
         e->order.upstream = NULL;
         g_clear_pointer(&e->order_model, g_free);
         g_clear_pointer(&e->order_adapter, g_free);
-        mp_on_order_end(s->mp, s->now_ms, e->state->id, end);
+        mp_on_order_result(s->mp, s->now_ms, e->state->id, end);
     }
     if (e->asked) {
         e->asked = false;
@@ -1076,7 +1076,7 @@
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
         mp_on_entry(s->mp, s->now_ms, s->engines[i].state);
     }
-    mp_begin(s->mp, s->now_ms);
+    mp_on_lease_gained(s->mp, s->now_ms);
 }
 
 static void
@@ -1107,7 +1107,7 @@
 static void
 take_demand(Site *s, const char *gateway, DmDemand *demand)
 {
-    dm_take(s->demand, s->now_ms, gateway, demand);
+    dm_apply(s->demand, s->now_ms, gateway, demand);
     dm_destroy_demand(demand);
     tell_sums(s);
 }
@@ -1118,7 +1118,7 @@
     uint64_t end = s->now_ms + for_ms;
     for (; s->now_ms < end; s->now_ms += STEP_MS) {
         advance_loads(s);
-        dm_drop_silent(s->demand, s->now_ms, DEMAND_LIFE_MS);
+        dm_expire_sources(s->demand, s->now_ms, DEMAND_LIFE_MS);
         tell_sums(s);
         mp_on_tick(s->mp, s->now_ms, may_order);
         for (int i = 0; i < ENGINES; i++) {
@@ -1132,7 +1132,7 @@
            const char *adapter, uint32_t waiting, uint32_t arrived)
 {
     DmDemand *demand = dm_create_demand(true);
-    DmWant *w = dm_add_want(demand, model, adapter);
+    DmModelDemand *w = dm_add_model_demand(demand, model, adapter);
     w->waiting = waiting;
     w->arrived = arrived;
     take_demand(s, gateway, demand);
@@ -1222,7 +1222,7 @@
     Site s;
     start_site(&s, 6);
     for (int i = 1; i < ENGINES; i++) {
-        mp_on_gone(s.mp, s.engines[i].state->id);
+        mp_on_removed(s.mp, s.engines[i].state->id);
     }
     Engine *e = &s.engines[0];
     want(&s, "g", "m0", NULL, 1);
@@ -1307,7 +1307,7 @@
     g_ptr_array_add(other->state->on_disk, g_strdup("m0"));
     mp_on_entry(s.mp, s.now_ms, other->state);
     holder->down = true;
-    mp_on_suspicion(s.mp, s.now_ms, holder->state->id);
+    mp_on_suspected(s.mp, s.now_ms, holder->state->id);
     want(&s, "g", "m0", NULL, 1);
     run_site(&s, 700, true);
     CU_ASSERT_PTR_NOT_NULL(dep_find_resident(other->state->models, "m0"));
@@ -1369,7 +1369,8 @@
 {
     g_autoptr(GPtrArray) open = g_ptr_array_new();
     Questions q = {open, 0};
-    MpOutput out = {.ctx = &q, .ask = note_question, .placed = ignore_placed};
+    MpOutput out = {
+        .ctx = &q, .request_report = note_question, .publish = ignore_placed};
     MpParams params = {false};
     Mp *m = mp_create(&params, &out);
     DepConfig *c = make_small_config();
@@ -1381,7 +1382,7 @@
         g_ptr_array_add(states, make_upstream(id, "s", NULL));
         mp_on_entry(m, 1, states->pdata[i]);
     }
-    mp_begin(m, 1);
+    mp_on_lease_gained(m, 1);
     g_autoptr(GHashTable) answered = g_hash_table_new(g_str_hash, g_str_equal);
     for (uint64_t now_ms = 10; now_ms < 1000; now_ms += 20) {
         mp_on_tick(m, now_ms, false);
@@ -1460,7 +1461,7 @@
     CU_ASSERT_EQUAL(count_loads(&s), 1);
     for (int i = 0; i < 10; i++) {
         DmDemand *d = dm_create_demand(true);
-        DmWant *w = dm_add_want(d, "m0", NULL);
+        DmModelDemand *w = dm_add_model_demand(d, "m0", NULL);
         w->running = 5;
         w->refused = 10;
         take_demand(&s, "g", d);
@@ -1583,11 +1584,11 @@
         most = MAX(most, count_loading(&s));
     }
     CU_ASSERT(most >= 3);
-    MpStoreRate learnt = mp_get_store_rate(s.mp);
+    MpStoreLimits learnt = mp_get_store_limits(s.mp);
     CU_ASSERT(learnt.at_once >= 3);
     stop_site(&s);
     start_store_site(&s);
-    mp_set_store_rate(s.mp, learnt);
+    mp_set_store_limits(s.mp, learnt);
     want_many(&s);
     run_site(&s, 300, true);
     CU_ASSERT(count_loads(&s) >= 3);
@@ -1686,7 +1687,7 @@
     int before = count_loads(&s);
     CU_ASSERT_EQUAL(before, 8);
     for (int i = 0; i < ENGINES; i++) {
-        mp_on_suspicion(s.mp, s.now_ms, s.engines[i].state->id);
+        mp_on_suspected(s.mp, s.now_ms, s.engines[i].state->id);
     }
     run_site(&s, 60, true);
     want(&s, "g", "m8", NULL, 1);
@@ -1704,7 +1705,7 @@
     Site s;
     start_site(&s, 3);
     for (int i = 1; i < ENGINES; i++) {
-        mp_on_gone(s.mp, s.engines[i].state->id);
+        mp_on_removed(s.mp, s.engines[i].state->id);
     }
     Engine *e = &s.engines[0];
     want(&s, "g", "m0", NULL, 1);
@@ -1727,7 +1728,7 @@
          uint32_t arrived, bool slow)
 {
     DmDemand *d = dm_create_demand(true);
-    DmWant *w = dm_add_want(d, model, NULL);
+    DmModelDemand *w = dm_add_model_demand(d, model, NULL);
     w->running = running;
     w->arrived = arrived;
     for (int i = 0; i < ENGINES; i++) {
@@ -1836,7 +1837,7 @@
     run_site(&s, 300, true);
     for (int i = 0; i < ENGINES - 1; i++) {
         s.engines[i].down = true;
-        mp_on_suspicion(s.mp, s.now_ms, s.engines[i].state->id);
+        mp_on_suspected(s.mp, s.now_ms, s.engines[i].state->id);
     }
     run_site(&s, 2000, true);
     CU_ASSERT_EQUAL(count_cut_off(&s, s.engines[0].state->data_centre), 0);
@@ -1890,7 +1891,7 @@
     for (int i = 0; i < ENGINES; i++) {
         mp_on_entry(s.mp, s.now_ms, s.engines[i].state);
     }
-    mp_begin(s.mp, s.now_ms);
+    mp_on_lease_gained(s.mp, s.now_ms);
     for (int t = 0; t < 60; t++) {
         run_site(&s, 500, true);
         for (int i = 0; i < ENGINES; i++) {
@@ -1911,7 +1912,7 @@
     Site s;
     start_site(&s, 3);
     for (int i = 1; i < ENGINES; i++) {
-        mp_on_gone(s.mp, s.engines[i].state->id);
+        mp_on_removed(s.mp, s.engines[i].state->id);
     }
     Engine *e = &s.engines[0];
     for (int i = 0; i < 2; i++) {
@@ -1946,13 +1947,13 @@
 {
     Site s;
     start_store_site(&s);
-    mp_set_store_rate(s.mp, (MpStoreRate){.at_once = 2, .most = 0});
+    mp_set_store_limits(s.mp, (MpStoreLimits){.at_once = 2, .most = 0});
     run_site(&s, 100, true);
     for (int t = 0; t < 8; t++) {
         say_demand(&s, "g0", "m0", NULL, 1, 0);
         say_demand(&s, "g1", "m1", NULL, t >= 5, 0);
         run_site(&s, 1000, true);
-        CU_ASSERT(mp_get_store_rate(s.mp).at_once == 2);
+        CU_ASSERT(mp_get_store_limits(s.mp).at_once == 2);
     }
     CU_ASSERT_EQUAL(count_loads(&s), 2);
     stop_site(&s);
@@ -1966,14 +1967,14 @@
     Site s;
     start_store_site(&s);
     s.store_serves = 2;
-    mp_set_store_rate(s.mp, (MpStoreRate){.at_once = 4, .most = 0});
+    mp_set_store_limits(s.mp, (MpStoreLimits){.at_once = 4, .most = 0});
     run_site(&s, 100, true);
     for (int t = 0; t < 14; t++) {
         want_many(&s);
         run_site(&s, 1000, true);
     }
-    CU_ASSERT_EQUAL(mp_get_store_rate(s.mp).most, 2);
-    CU_ASSERT_EQUAL(mp_get_store_rate(s.mp).at_once, 2);
+    CU_ASSERT_EQUAL(mp_get_store_limits(s.mp).most, 2);
+    CU_ASSERT_EQUAL(mp_get_store_limits(s.mp).at_once, 2);
     stop_site(&s);
 }
 
