--- a/src/mp_int.h
+++ b/src/mp_int.h
@@ -1,129 +1,138 @@
-/* mp_int: what the files of mp share: mp.c keeps what upstreams hold and were
-   ordered, mp_demand.c what callers ask for, mp_place.c decides what is loaded
-   where, mp_adapter.c the same of adapters, mp_store.c how many loads the
-   weight store is asked for at once, mp_publish.c what gateways are told. */
+/* mp_int: declarations shared by the files of mp.
+
+     mp.c          state of upstreams: content, reports and results of orders
+     mp_demand.c   demand of callers, and the estimated capacity of a replica
+     mp_place.c    which model is loaded on which upstream
+     mp_adapter.c  the same for adapters
+     mp_store.c    how many loads from the weight store run concurrently
+     mp_publish.c  what is published to gateways */
 #ifndef MP_INT_H
 #define MP_INT_H
 
 #include "mp.h"
 
-/* Not by the clock, but when the upstream says so. */
+/* As a time: not known in advance, but reported by the upstream. */
 #define WHEN_REPORTED UINT64_MAX
 
 typedef struct Model Model;
 typedef struct Up Up;
 
-/* What callers ask for, of a model or an adapter. */
+/* Demand for a model or an adapter. */
 typedef struct {
-    uint32_t waiting;
+    uint32_t waiting; /* requests, for it to be loaded */
     uint32_t running;
-    double rate; /* uses a second, decayed */
-    uint64_t rated_ms;
-    double hurried; /* of the rate: those with no time for a load */
-    double refused; /* a second, decayed */
+    double rate;       /* arrivals a second, decayed */
+    uint64_t rated_ms; /* time of rate and hurried */
+    double hurried;    /* part of rate: too urgent to wait for a load */
+    double refused;    /* refusals a second, decayed */
     uint64_t refused_ms;
-    uint64_t waiting_since_ms; /* 0: nobody waits */
-    uint64_t next_try_ms;      /* no place was found: not looked for before */
+    uint64_t waiting_since_ms; /* 0: no request waits */
+    uint64_t next_try_ms;      /* no upstream was found: next attempt */
 } Demand;
 
 struct Model {
     char *name;
-    /* Of the first service that declares it, which nearly always is the only
-       one; NULL: none does. */
+    /* The first service that declares it, nearly always the only one, and the
+       declaration there; NULL: none does. */
     const DepService *service;
     const DepModel *declared;
     Demand demand;
-    GPtrArray *holders; /* Up: with a replica, whatever its state */
-    GPtrArray *copies;  /* Up: with a copy on disk or in memory */
-    GPtrArray *goals;   /* Up: it is to be loaded there */
-    uint32_t replicas;  /* usable, or to be; derived anew at each tick */
-    /* Requests at once that one replica serves well, as far as is known, and
-       what it follows from. */
-    double capacity;
-    uint32_t slow;           /* requests that are about to come late */
-    double slow_integral_ms; /* time times these, since it was last judged */
-    double running_integral_ms; /* the same of all */
-    uint64_t integrated_ms;
+    GPtrArray *holders; /* Up: with a replica in any state */
+    GPtrArray *copies;  /* Up: with cached weights on disk or in memory */
+    GPtrArray *goals;   /* Up: whose goal it is */
+    uint32_t replicas;  /* usable or planned; recounted at each tick */
+    double capacity; /* estimated concurrent requests that one replica serves
+                        in time */
+    /* Samples for the next estimate of the capacity. */
+    uint32_t slow;           /* running requests that are about to be late */
+    double slow_integral_ms; /* of slow over time, since estimated_ms */
+    double running_integral_ms; /* of demand.running, likewise */
+    uint64_t integrated_ms;     /* end of both integrals */
     uint64_t estimated_ms;
 };
 
 typedef struct {
     char *name;
     uint64_t ready_ms; /* usable from then on */
-    uint64_t used_ms;
-    bool leaving; /* its unload waits for requests that use it */
+    uint64_t used_ms;  /* last use */
+    bool leaving;      /* being unloaded, after the requests that use it */
 } Adapter;
 
 typedef struct {
     Model *model;
     uint64_t ready_ms;           /* usable from then on, or WHEN_REPORTED */
-    uint64_t expected_ms;        /* when its load should end */
-    uint64_t ordered_ms;         /* when it was ordered */
+    uint64_t expected_ms;        /* end of its load, by the declared time */
+    uint64_t ordered_ms;         /* start of its load */
     double integral_at_start_ms; /* Mp.load_integral_ms when its load began */
-    bool late;                   /* its load takes longer than it should */
-    bool unloading;
-    uint64_t used_ms;
-    GPtrArray *adapters; /* Adapter */
+    bool late;                   /* its load was found overdue */
+    bool unloading;              /* or about to be: no longer published */
+    uint64_t used_ms;            /* last use */
+    GPtrArray *adapters;         /* Adapter */
 } Replica;
 
-/* Requests of all gateways that use one model or adapter there. */
+/* Requests of all gateways for one model or adapter at an upstream. */
 typedef struct {
     char *model;
     char *adapter; /* NULL: the model itself */
     uint32_t running;
-    uint32_t queued;
-    uint32_t slow;
+    uint32_t queued; /* of these, waiting for their first byte */
+    uint32_t slow;   /* of these, about to be late */
 } Use;
 
-/* What is at an upstream, by its id: told of before and after its entry. */
+/* Requests at an upstream.  Kept by id apart from Up, as requests are reported
+   also before its entry is read and after that is gone. */
 typedef struct {
     GPtrArray *uses; /* Use */
     uint32_t running;
-    uint32_t queued;   /* of these, that wait for their first byte */
-    uint32_t began;    /* answers that began since it was last looked at */
-    uint64_t began_ms; /* when the last one was told */
-    uint64_t queued_since_ms; /* since when some wait; 0: none does */
+    uint32_t queued;          /* of these, waiting for their first byte */
+    uint32_t began;           /* answers that began since the last sample */
+    uint64_t began_ms;        /* when the last of them was reported */
+    uint64_t queued_since_ms; /* 0: none is queued */
 } UpstreamLoad;
 
+/* An upstream. */
 struct Up {
     DepUpstream *entry;        /* id, address, service */
-    const DepService *service; /* NULL: none with models */
-    uint32_t reserved_mb;      /* of its memory, kept for adapters */
-    GPtrArray *in_memory;      /* Model: copies */
-    GPtrArray *on_disk;
-    bool known; /* content is known, and the sequence it is at */
-    bool report_pending;
-    bool busy; /* at an order of which we don't know, as last reported */
-    uint64_t next_report_ms;
-    uint32_t missed_reports; /* questions in a row */
-    uint64_t sequence;
-    GPtrArray *replicas; /* Replica */
-    uint64_t busy_until_ms;
-    uint64_t retry_ms;    /* no order before */
-    uint64_t changed_ms;  /* an order was accepted, or may have been */
-    uint64_t unloaded_ms; /* of a model, the last */
-    Model *goal;          /* that is to be loaded here; NULL: none */
-    uint64_t goal_until_ms;
-    double goal_gain; /* callers a second, when it was set */
-    /* the order that is out */
+    const DepService *service; /* NULL: not a service with models */
+    uint32_t reserved_mb;      /* of its memory, for adapters */
+    GPtrArray *in_memory;      /* Model: with cached weights in main memory */
+    GPtrArray *on_disk;        /* Model: with cached weights on disk */
+    bool known;                /* replicas and sequence are up to date */
+    bool report_pending;       /* a report was requested */
+    bool busy; /* last report: an order is in progress that we don't know */
+    uint64_t next_report_ms; /* no report is requested before */
+    uint32_t missed_reports; /* requests without an answer, in a row */
+    uint64_t sequence;       /* orders that it accepted */
+    GPtrArray *replicas;     /* Replica */
+    uint64_t busy_until_ms;  /* end of the load in progress */
+    uint64_t retry_ms;       /* no order is sent before */
+    uint64_t changed_ms;     /* last order that was accepted, or may be */
+    uint64_t unloaded_ms;    /* last unload of a model that was accepted */
+    Model *goal;             /* model chosen to be loaded here; NULL: none */
+    uint64_t goal_until_ms;  /* then it is given up */
+    double goal_gain;        /* callers a second, when the goal was set */
+    /* The pending order. */
     bool ordered;
     bool order_unload;
     Model *order_model;
     char *order_adapter;
-    uint64_t order_ms; /* when it was sent */
-    uint64_t order_load_ms;
+    uint64_t order_ms;      /* when it was sent */
+    uint64_t order_load_ms; /* expected time of a model's load */
     bool order_from_store;
-    bool told;      /* gateways know the present content */
-    bool unreached; /* it did not answer last time */
-    uint64_t suspected_ms;
-    uint64_t verified_ms;
+    /* Other state. */
+    bool told;             /* its present content has been published */
+    bool unreached;        /* it did not answer the last call */
+    uint64_t suspected_ms; /* last report requested for a broken connection */
+    uint64_t verified_ms;  /* last report requested by verify_waited_models */
     UpstreamLoad *load;
-    uint32_t last_queued; /* when it was last looked at */
+    /* Last sample of the load. */
+    uint32_t last_queued;
     uint64_t sampled_ms;
-    double start_interval_ms; /* between beginnings while others wait */
+    double start_interval_ms; /* mean time between first bytes of answers while
+                                 requests are queued */
 };
 
-/* Callers of one adapter. */
+/* Demand for one adapter. */
 typedef struct {
     Model *model;
     char *name;
@@ -135,43 +144,45 @@
     MpOutput out;
     DepConfig *config;    /* NULL: none yet */
     GHashTable *ups;      /* id -> Up */
-    GHashTable *reserves; /* DepService -> MB kept free for adapters */
+    GHashTable *reserves; /* DepService -> MB reserved for adapters */
     GHashTable *models;   /* name -> Model */
     GHashTable *adapters; /* "model/adapter" -> AdapterDemand */
-    GHashTable *loads;    /* id of an upstream -> Load */
+    GHashTable *loads;    /* id of an upstream -> UpstreamLoad */
     uint64_t now_ms;      /* of the last tick */
-    double capacity;      /* of a model of which nothing is known */
-    GArray *store_starts; /* uint64_t: loads from the store begun */
+    double capacity;      /* initial estimate for a new model */
+    GArray *store_starts; /* uint64_t: start times of loads from the store */
     uint64_t next_prefetch_ms;
-    uint64_t idle_checked_ms;        /* when idle models were last forgotten */
-    bool asked;                      /* callers asked for some model lately */
-    uint32_t reports_pending;        /* upstreams that haven't answered yet */
-    const DepService *store_blocked; /* its loads wait for a later tick */
+    uint64_t idle_checked_ms;        /* last check for idle models */
+    bool asked;                      /* some model has demand */
+    uint32_t reports_pending;        /* upstreams with a requested report */
+    const DepService *store_blocked; /* in this tick the store starts no more
+                                        loads for it */
     MpStoreLimits store;
-    uint64_t store_late_ms;  /* when a load was last found late */
-    double load_integral_ms; /* time times loads from the store, as summed */
-    uint64_t load_integral_at_ms;
-    uint32_t loads_in_flight; /* when it was last summed */
+    uint64_t store_late_ms;       /* when a load was last found late */
+    double load_integral_ms;      /* of concurrent store loads over time */
+    uint64_t load_integral_at_ms; /* end of the integral */
+    uint32_t loads_in_flight;     /* store loads at that time */
 };
 
-/* A model that lacks replicas. */
+/* A model that needs a further replica. */
 typedef struct {
     Model *model;
     uint64_t since_ms;
-    bool none;   /* nobody holds it */
-    double gain; /* callers a second that a replica more serves in time */
+    bool none;   /* it has no replica, nor is one planned */
+    double gain; /* callers a second that the replica serves in time */
 } Shortage;
 
 /* mp.c */
 Model *mp_get_model(Mp *m, const char *name);
 Replica *mp_find_replica(const Up *u, const Model *model);
-/* As the service of U declares it; NULL: it doesn't. */
+/* MODEL as the service of U declares it; NULL: it doesn't. */
 const DepModel *mp_find_declared(const Up *u, const Model *model);
 bool mp_has_copy(const Up *u, const Model *model);
 void mp_set_goal(Up *u, Model *model); /* NULL: none */
 
 /* mp_demand.c */
-/* Requests at a replica, before anything is known. */
+/* Estimate of the concurrent requests that a replica serves in time, before
+   any sample. */
 #define MP_INITIAL_CAPACITY 16.
 Demand *mp_find_adapter_demand(const Mp *m, const Model *model,
                                const char *adapter);
@@ -181,32 +192,35 @@
 double mp_get_refused_rate(const Demand *d, uint64_t now_ms);
 UpstreamLoad *mp_get_upstream_load(Mp *m, const char *upstream);
 void mp_free_upstream_load(void *load);
-void mp_free_adapter_demand(void *wanted);
-/* Limits of replicas follow from the answers that were slow. */
+void mp_free_adapter_demand(void *demand);
+/* Estimate the capacity of replicas from the share of slow requests. */
 void mp_estimate_capacity(Mp *m, uint64_t now_ms);
-/* What nobody asks for any more is left out. */
+/* Free records of models, adapters and upstreams that are no longer used. */
 void mp_forget_idle(Mp *m, uint64_t now_ms);
 
 /* mp_publish.c */
 void mp_publish(Mp *m, Up *u, uint64_t now_ms);
+/* A load on U has ended after BEFORE_MS. */
 bool mp_has_just_become_ready(const Up *u, uint64_t now_ms,
                               uint64_t before_ms);
 
 /* mp_store.c */
 #define MP_MAX_STORE_LOADS 16
 uint32_t mp_count_store_loads(const Mp *m);
-/* At each tick, before loads are begun: what is beside each is averaged. */
+/* Update the integral of concurrent loads; at each tick before loads are
+   started. */
 void mp_integrate_store_loads(Mp *m, uint64_t now_ms);
 /* The load of R from the store has ended. */
 void mp_on_store_load_end(Mp *m, uint64_t now_ms, const Replica *r);
-/* Of loads at U that take too long and have not ended. */
+/* Lower the limit if a load on U is overdue. */
 void mp_check_overdue_loads(Mp *m, uint64_t now_ms, Up *u);
-/* A load of a model whose loading gains GAIN may be begun now. */
+/* A model whose load gains GAIN may be loaded from the store now. */
 bool mp_may_start_store_load(Mp *m, uint64_t now_ms, const DepService *s,
                              double gain);
-/* One that was ordered at ORDER_MS was not begun. */
+/* The load ordered at ORDER_MS was not started. */
 void mp_cancel_store_start(Mp *m, uint64_t order_ms);
-/* FREE_IN_MS: for each load that is served side by side, until it ends. */
+/* FREE_IN_MS: for each concurrent load of the store, the time until it ends;
+   MP_MAX_STORE_LOADS entries, which the caller sets to 0. */
 void mp_list_store_slots(const Mp *m, uint64_t now_ms, uint64_t *free_in_ms);
 uint64_t *mp_pick_first_slot(const Mp *m, uint64_t *free_in_ms);
 
@@ -217,12 +231,17 @@
                    const char *adapter, bool unload);
 void mp_count_replicas(Mp *m);
 void mp_place_models(Mp *m, uint64_t now_ms);
-/* Its load does not need the weight store everywhere. */
+/* A usable upstream has MODEL loaded or cached, or is about to load it. */
 bool mp_is_cached(const Model *model);
+/* Expected time to load MODEL on U, from the nearest copy of its weights. */
 uint32_t mp_get_load_ms(const Up *u, const DepModel *d, const Model *model,
                         bool *from_store);
+/* Models that need a further replica, by descending gain; ALL: also those
+   whose next attempt is not due yet. */
 GArray *mp_list_shortages(const Mp *m, uint64_t now_ms, bool all);
 void mp_prefetch(Mp *m, uint64_t now_ms);
+/* Send the next order towards U's goal: an unload to free memory, or the
+   load. */
 void mp_pursue_goal(Mp *m, uint64_t now_ms, Up *u);
 
 /* mp_adapter.c */
