--- a/src/mp.c
+++ b/src/mp.c
@@ -176,15 +176,15 @@
 static uint32_t
 compute_adapter_reserve_mb(const DepService *s)
 {
-    uint32_t most = 0;
+    uint32_t max_mb = 0;
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, s->models);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const DepModel *d = v;
-        most = MAX(most, d->adapters ? d->adapter_mb : 0);
+        max_mb = MAX(max_mb, d->adapters ? d->adapter_mb : 0);
     }
-    return most * s->max_adapters;
+    return max_mb * s->max_adapters;
 }
 
 static uint32_t
--- a/src/mp_adapter.c
+++ b/src/mp_adapter.c
@@ -83,7 +83,7 @@
 find_upstream(const Mp *m, uint64_t now_ms, const Model *model)
 {
     Up *best = NULL;
-    uint32_t least = 0;
+    uint32_t min_cost = 0;
     for (guint i = 0; i < model->holders->len; i++) {
         Up *u = model->holders->pdata[i];
         const Replica *r = mp_find_replica(u, model);
@@ -92,16 +92,16 @@
             continue;
         }
         uint32_t cost = count_adapters(u);
-        Model *of;
+        Model *owner;
         if (cost >= u->service->max_adapters) {
-            if (!pick_victim(m, now_ms, u, &of)) {
+            if (!pick_victim(m, now_ms, u, &owner)) {
                 continue;
             }
             cost += FULL_COST;
         }
-        if (!best || cost < least) {
+        if (!best || cost < min_cost) {
             best = u;
-            least = cost;
+            min_cost = cost;
         }
     }
     return best;
@@ -118,10 +118,10 @@
         mp_send_order(m, now_ms, u, w->model, w->name, false);
         return;
     }
-    Model *of = NULL;
-    const Adapter *a = pick_victim(m, now_ms, u, &of);
+    Model *owner = NULL;
+    const Adapter *a = pick_victim(m, now_ms, u, &owner);
     g_autofree char *name = g_strdup(a->name);
-    mp_send_order(m, now_ms, u, of, name, true);
+    mp_send_order(m, now_ms, u, owner, name, true);
 }
 
 void
--- a/src/mp_place.c
+++ b/src/mp_place.c
@@ -3,52 +3,56 @@
 #include <math.h>
 #include <string.h>
 
-/* Between looks for a place for a model that found none. */
+/* Gains, losses and rates are in callers a second. */
+
+/* Between attempts for a model for which no upstream was found. */
 #define RETRY_INTERVAL_MS 80
 #define PREFETCH_INTERVAL_MS 200
-/* A replica stays at least this long: until its first uses are told. */
+/* No replica is evicted before its first uses have been reported. */
 #define MIN_LIFETIME_MS 450
-/* A load is taken for done this much after its stated time. */
+/* Added to the declared time of a load. */
 #define LOAD_MARGIN_MS 15
-/* A refused request would have been at its upstream for about so long. */
+/* Assumed duration of a request that was refused. */
 #define REFUSED_DURATION_S 1.5
-/* Bounds of what is observed of stays: few samples, or a stuck upstream. */
+/* Bounds of the observed duration of requests, against few samples and stuck
+   upstreams. */
 #define MIN_DURATION_S 0.3
 #define MAX_DURATION_S 4.
-/* A caller that has time for a load from a disk comes late this often after
-   all, as the load has to wait for room or for others. */
+/* Share of the callers with time for a load from disk that are late all the
+   same, as the load waits for memory or for other loads. */
 #define RELOAD_LATE_SHARE 0.2
-/* Even a model that nobody asked for lately may be asked for. */
+/* Loss of a model without recent requests, which may still be requested. */
 #define IDLE_MODEL_LOSS 0.02
-/* Of callers that have no time for a load, the part that would miss a model
-   with one replica as its upstream may be lost. */
+/* Share of the callers without time for a load that miss a model with a single
+   replica, as its upstream may fail. */
 #define UPSTREAM_LOSS_SHARE 0.05
-/* What a replica more must gain beyond what its room costs, in callers a
-   second: or two models would take each other's place in turn. */
+/* Required gain of a replica beyond the loss by its evictions, so that two
+   models don't evict each other in turn. */
 #define MIN_NET_GAIN 0.3
-#define MIN_REPLICA_GAIN 1. /* to look for a place for a replica more at all  \
-                             */
-/* A load ahead of need: may cost a model that hardly anybody asks for its
-   place, never one that callers wait for. */
+/* Required gain of a replica beyond the first. */
+#define MIN_REPLICA_GAIN 1.
+/* Gain of a prefetch: enough to evict a model with hardly any requests, never
+   one with waiting requests. */
 #define PREFETCH_GAIN 0.5
-/* What a place costs in callers a second, it costs for about so long: the
-   memory of the rates that tell it. */
+/* How long the loss by an eviction is assumed to last: the decay time of the
+   rates that it follows from. */
 #define HORIZON_S 5.
-/* An upstream with as many requests as one replica serves well is as good a
-   place as an idle one so much later. */
+/* An upstream with as many running requests as one replica's capacity ranks
+   like an idle one that is ready this much later. */
 #define SPREAD_PENALTY_S 0.3
-/* Nothing is gained by waiting for a copy when so many callers miss it. */
+/* From this gain on, waiting for an upstream with a local copy does not pay:
+   the model is loaded from the weight store at once. */
 #define STORE_AT_ONCE_GAIN 8.
-/* A replica in use makes room for no less: its own callers come later. */
+/* Required gain for evicting a replica in use, whose own callers are delayed.
+ */
 #define MIN_GAIN_IN_USE 16.
-/* An unload of an idle replica takes so long: free room goes before it. */
+/* Time of an unload of an idle replica, so that free memory is preferred. */
 #define IDLE_UNLOAD_S 0.1
-#define IDLE_AFTER_MS 100 /* after its last use was told */
+#define IDLE_AFTER_MS 100 /* after the last use was reported */
 #define GOAL_TIMEOUT_MS 4000
-/* Upstreams with a copy are waited for so long before the weight store. */
+/* Wait for an upstream with a local copy before a load from the weight store;
+   if it is unreachable, at least the load time divided by the divisor. */
 #define COPY_WAIT_MS 1500
-/* Those beside an upstream that is away are waited for at least this part of
-   a load from the store. */
 #define UNREACHABLE_WAIT_DIVISOR 3
 
 /* ---- replicas ----------------------------------------------------------- */
@@ -59,8 +63,8 @@
     return !u->entry->draining && u->service;
 }
 
-/* What is on one that can't be reached serves nobody: its callers wait for
-   another replica. */
+/* Replicas on unreachable upstreams don't count: their callers wait for
+   another one. */
 static void
 count_replicas_of(const Up *u)
 {
@@ -98,8 +102,8 @@
     for (guint i = 0; i < u->replicas->len; i++) {
         const Replica *r = u->replicas->pdata[i];
         const DepModel *d = mp_find_declared(u, r->model);
-        /* A model that is no longer declared has an unknown size: nothing
-           more is loaded beside it. */
+        /* The size of a model that is no longer declared is unknown: assume
+           all memory. */
         free_mb -= d ? d->memory_mb : u->service->memory_mb;
     }
     return free_mb;
@@ -127,9 +131,9 @@
            !mp_is_in_use(u, r->model, NULL);
 }
 
-/* ---- what a replica is worth -------------------------------------------- */
+/* ---- gain and loss of a replica ----------------------------------------- */
 
-/* Requests there would be at once if none were refused. */
+/* Concurrent requests if none were refused. */
 static double
 get_offered_load(const Demand *d, uint64_t now_ms)
 {
@@ -137,16 +141,15 @@
            mp_get_refused_rate(d, now_ms) * REFUSED_DURATION_S;
 }
 
-/* Of these, how many come too late with so many replicas: none while each
-   has what it serves well, all with twice that. */
+/* How many of them are too late with REPLICAS: none up to the capacity of each
+   replica, all from twice that on. */
 static double
 get_late_load(double asked, uint32_t replicas, double capacity)
 {
     return asked * CLAMP(asked / replicas / capacity - 1, 0, 1);
 }
 
-/* Callers a second that a further replica of a model with REPLICAS, at least
-   one, serves in time. */
+/* Gain of a further replica of a model that has REPLICAS, at least one. */
 static double
 get_gain(const Model *model, uint64_t now_ms, uint32_t replicas)
 {
@@ -160,7 +163,7 @@
     return gain;
 }
 
-/* Callers a second that come too late without this replica. */
+/* Callers a second that are too late without this replica. */
 static double
 get_loss(uint64_t now_ms, const Up *u, const Replica *r)
 {
@@ -175,16 +178,16 @@
     double hurried = mp_get_hurried_rate(d, now_ms);
     double tolerant = MAX(mp_get_rate(d, now_ms) - hurried, 0);
     if (!mp_has_copy(u, r->model)) {
-        /* It would come back from the weight store, and be loaded ahead of
-           need in its turn: models that have no copy must not push each other
-           out without end. */
+        /* It would have to be reloaded from the weight store, and would be
+           prefetched again: models without a copy must not evict each other
+           endlessly. */
         return MAX(hurried + tolerant, PREFETCH_GAIN);
     }
     return IDLE_MODEL_LOSS + hurried + tolerant * RELOAD_LATE_SHARE;
 }
 
-/* How long requests for it stay at an upstream: as many are there at once as
-   come in that time. */
+/* Mean duration of its requests at an upstream: the number running divided by
+   the arrival rate. */
 static double
 get_duration_s(const Demand *d, uint64_t now_ms)
 {
@@ -193,15 +196,15 @@
                     : MIN_DURATION_S;
 }
 
-/* What loading something in place of a replica costs: callers a second that
-   come too late, and the time until its last request has ended. */
+/* Cost of loading a model in place of a replica. */
 typedef struct {
-    double loss;
-    double wait_s;
+    double loss;   /* callers a second that are too late without it */
+    double wait_s; /* until its last request has ended and it is unloaded */
 } EvictionCost;
 
-/* One in use makes room only for much: its upstream takes no other order until
-   its last request has ended.  False: it makes none for GAIN. */
+/* False: R can't be evicted for GAIN.  A replica in use is evicted only for
+   a high gain, as its upstream accepts no other order until its last request
+   has ended. */
 static bool
 get_eviction_cost(uint64_t now_ms, const Up *u, const Replica *r, double gain,
                   EvictionCost *out)
@@ -227,12 +230,12 @@
     return p->loss * HORIZON_S + p->wait_s * gain;
 }
 
-#define MAX_VICTIMS 16 /* for one load; smaller models make no more room */
+#define MAX_VICTIMS 16 /* for one load */
 
 typedef struct {
     Replica *list[MAX_VICTIMS];
     uint32_t count;
-    EvictionCost price; /* of all together */
+    EvictionCost cost; /* of all together */
 } Victims;
 
 static bool
@@ -246,35 +249,35 @@
     return false;
 }
 
-/* One more that makes room for a model whose loading gains GAIN, at the least
-   cost; NULL: there is none. */
+/* Add the replica with the lowest cost that may be evicted for GAIN; NULL:
+   there is none. */
 static Replica *
 pick_victim(uint64_t now_ms, const Up *u, double gain, Victims *victims)
 {
     Replica *best = NULL;
-    EvictionCost price = {0, 0};
+    EvictionCost cost = {0, 0};
     for (guint i = 0; i < u->replicas->len; i++) {
         Replica *r = u->replicas->pdata[i];
-        EvictionCost p;
+        EvictionCost c;
         if (!is_victim(victims, r) &&
-            get_eviction_cost(now_ms, u, r, gain, &p) &&
+            get_eviction_cost(now_ms, u, r, gain, &c) &&
             (!best ||
-             get_total_cost(&p, gain) < get_total_cost(&price, gain))) {
+             get_total_cost(&c, gain) < get_total_cost(&cost, gain))) {
             best = r;
-            price = p;
+            cost = c;
         }
     }
     if (!best || victims->count == MAX_VICTIMS) {
         return NULL;
     }
     victims->list[victims->count++] = best;
-    victims->price.loss += price.loss;
-    victims->price.wait_s = MAX(victims->price.wait_s, price.wait_s);
+    victims->cost.loss += cost.loss;
+    victims->cost.wait_s = MAX(victims->cost.wait_s, cost.wait_s);
     return best;
 }
 
-/* What it costs to load MODEL on U, in caller seconds; below 0: it can't be,
-   or costs others more than it gains. */
+/* Cost of loading MODEL on U, in callers; negative: it is impossible, or the
+   loss by evictions exceeds the gain. */
 static double
 compute_load_cost(uint64_t now_ms, const Up *u, const Model *model,
                   const DepModel *d, double gain)
@@ -297,11 +300,11 @@
         }
         free_mb += rd->memory_mb;
     }
-    const EvictionCost *all = &victims.price;
+    const EvictionCost *all = &victims.cost;
     if (all->loss > 0 && all->loss + MIN_NET_GAIN > gain) {
         return -1;
     }
-    /* Spread: an upstream that serves much already is slower. */
+    /* Spread the load: a busy upstream is slower. */
     double spread_penalty_s =
         u->load->running / model->capacity * SPREAD_PENALTY_S;
     return get_total_cost(all, gain) + gain * (ready_s + spread_penalty_s);
@@ -371,8 +374,9 @@
     }
 }
 
-/* Gateways send nothing more to a victim from now on.  It is unloaded when
-   its requests have ended: until then the upstream would take no order. */
+/* Evict a replica to free memory for U's goal.  Gateways send no more requests
+   to it from now on.  It is unloaded after its running requests, as the
+   upstream would accept no other order while an unload waits for them. */
 static void
 make_room(Mp *m, uint64_t now_ms, Up *u)
 {
@@ -392,8 +396,8 @@
     }
 }
 
-/* Closed for one model it is closed for all with less to gain, which come
-   after it in a round. */
+/* Models are tried by descending gain: if one may not start, later ones of the
+   same service may not either. */
 static bool
 may_start_store_load(Mp *m, uint64_t now_ms, const DepService *s, double gain)
 {
@@ -405,7 +409,6 @@
     return open;
 }
 
-/* Work on U's goal: make room, then load. */
 void
 mp_pursue_goal(Mp *m, uint64_t now_ms, Up *u)
 {
@@ -430,12 +433,13 @@
     }
 }
 
-/* ---- places ------------------------------------------------------------- */
+/* ---- choice of an upstream ---------------------------------------------- */
 
+/* Where a new replica of a model could be loaded from a local copy. */
 typedef enum {
     COPY_NONE,
-    COPY_UNREACHABLE, /* beside an upstream that does not answer just now */
-    COPY_REACHABLE    /* beside one that does; it may be busy */
+    COPY_UNREACHABLE, /* only on upstreams that don't answer at present */
+    COPY_REACHABLE    /* on an upstream that answers; it may be busy */
 } CopyState;
 
 static CopyState
@@ -451,8 +455,8 @@
     return best;
 }
 
-/* The weight store is slow and shared: it is left for models that callers
-   wait for in vain, that is whose copies beside upstreams can't be used. */
+/* The weight store is slow and shared.  It is used for models without usable
+   local copies, and otherwise only after a wait in vain. */
 static bool
 may_use_store(uint64_t now_ms, const Shortage *w)
 {
@@ -460,7 +464,8 @@
     if (copy == COPY_NONE || w->gain >= STORE_AT_ONCE_GAIN) {
         return true;
     }
-    /* A process that crashed is back before the store could have served. */
+    /* An upstream that crashed has restarted before a load from the store
+       would end. */
     uint32_t load_ms = w->model->declared ? w->model->declared->load_ms : 0;
     uint64_t wait_ms =
         copy == COPY_REACHABLE
@@ -539,17 +544,15 @@
     return x->since_ms < y->since_ms ? -1 : x->since_ms > y->since_ms;
 }
 
-/* Callers a second that miss a model that nobody holds.  Also those that are
-   refused at once count, or a model that many ask for would be loaded after
-   each that a single patient caller waits for. */
+/* Callers a second that a model without a replica can't serve.  The rate
+   includes callers that are refused at once; otherwise a popular model would
+   be loaded after any model for which a single tolerant caller waits. */
 static double
 get_unserved_rate(const Demand *d, uint64_t now_ms)
 {
     return d->waiting + mp_get_rate(d, now_ms);
 }
 
-/* Models that lack replicas, those with most to gain first; ALL: also those
-   for which a place was looked for just now. */
 GArray *
 mp_list_shortages(const Mp *m, uint64_t now_ms, bool all)
 {
@@ -581,9 +584,9 @@
 void
 mp_place_models(Mp *m, uint64_t now_ms)
 {
-    g_autoptr(GArray) wanted = mp_list_shortages(m, now_ms, false);
-    for (guint i = 0; i < wanted->len; i++) {
-        const Shortage *w = &g_array_index(wanted, Shortage, i);
+    g_autoptr(GArray) shortages = mp_list_shortages(m, now_ms, false);
+    for (guint i = 0; i < shortages->len; i++) {
+        const Shortage *w = &g_array_index(shortages, Shortage, i);
         Up *u = find_best_upstream(m, now_ms, w);
         if (u) {
             begin_goal(m, now_ms, u, w->model, w->gain);
@@ -594,7 +597,7 @@
     }
 }
 
-/* ---- ahead of need ------------------------------------------------------ */
+/* ---- prefetching -------------------------------------------------------- */
 
 static bool
 has_usable(const GPtrArray *ups)
@@ -614,17 +617,17 @@
            has_usable(model->goals);
 }
 
-/* A declared model that no upstream has a copy of, even where another that
-   has its copy beside it must make room: its first callers then wait for a
-   disk, not for the weight store. */
+/* Load a declared model of which no upstream has a copy, even if an idle model
+   with a local copy must be evicted: its first callers then wait for a load
+   from disk, not from the weight store. */
 static void
 prefetch_one(Mp *m, uint64_t now_ms, const DepService *s)
 {
-    /* Callers' loads go before: what is begun ahead of need holds the store
-       for as long as they would wait. */
+    /* Loads on demand take precedence: a prefetch occupies the store for as
+       long as they would have to wait. */
     bool scarce = m->asked && m->store.at_once <= 1;
-    uint32_t most = m->asked ? m->store.at_once / 2 : m->store.at_once;
-    if (scarce || mp_count_store_loads(m) >= most ||
+    uint32_t max_loads = m->asked ? m->store.at_once / 2 : m->store.at_once;
+    if (scarce || mp_count_store_loads(m) >= max_loads ||
         !mp_may_start_store_load(m, now_ms, s, 0)) {
         return;
     }
--- a/src/mp_publish.c
+++ b/src/mp_publish.c
@@ -186,7 +186,7 @@
     uint64_t free_in_ms[MP_MAX_STORE_LOADS] = {0};
     mp_list_store_slots(m, now_ms, free_in_ms);
     mp_count_replicas(m);
-    g_autoptr(GArray) wanted = mp_list_shortages(m, now_ms, true);
+    g_autoptr(GArray) shortages = mp_list_shortages(m, now_ms, true);
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->models);
@@ -199,8 +199,8 @@
         }
     }
     /* Those that need the weight store take turns there. */
-    for (guint i = 0; i < wanted->len; i++) {
-        const Shortage *w = &g_array_index(wanted, Shortage, i);
+    for (guint i = 0; i < shortages->len; i++) {
+        const Shortage *w = &g_array_index(shortages, Shortage, i);
         if (w->none && !mp_is_cached(w->model)) {
             uint64_t *first = mp_pick_first_slot(m, free_in_ms);
             *first += get_longest_load_ms(m, w->model);
--- a/src/mp_store.c
+++ b/src/mp_store.c
@@ -81,8 +81,8 @@
 static void
 note_late_load(Mp *m, uint64_t now_ms, const Replica *r)
 {
-    double stated_ms = (double)(r->expected_ms - r->ordered_ms);
-    double served = get_mean_concurrency(m, now_ms, r) * stated_ms /
+    double declared_ms = (double)(r->expected_ms - r->ordered_ms);
+    double served = get_mean_concurrency(m, now_ms, r) * declared_ms /
                     (double)(now_ms - r->ordered_ms);
     m->store.most = MAX((uint32_t)lround(served), 1);
     m->store.at_once = MIN(m->store.at_once, m->store.most);
@@ -95,9 +95,9 @@
 void
 mp_on_store_load_end(Mp *m, uint64_t now_ms, const Replica *r)
 {
-    uint64_t stated_ms = r->expected_ms - r->ordered_ms;
+    uint64_t declared_ms = r->expected_ms - r->ordered_ms;
     uint64_t limit_ms = r->expected_ms +
-                        (uint64_t)((double)stated_ms * IN_TIME_SHARE) +
+                        (uint64_t)((double)declared_ms * IN_TIME_SHARE) +
                         IN_TIME_MS;
     if (m->store.most && now_ms > m->store_late_ms + CEILING_LIFETIME_MS) {
         m->store.most = 0;
@@ -124,8 +124,8 @@
         if (r->ready_ms != WHEN_REPORTED || r->late) {
             continue;
         }
-        uint64_t stated_ms = r->expected_ms - r->ordered_ms;
-        if (now_ms > r->expected_ms + stated_ms * LATE_SHARE) {
+        uint64_t declared_ms = r->expected_ms - r->ordered_ms;
+        if (now_ms > r->expected_ms + declared_ms * LATE_SHARE) {
             r->late = true;
             note_late_load(m, now_ms, r);
         }
@@ -165,8 +165,8 @@
     g_autoptr(GPtrArray) under_way = list_loads(m);
     for (guint i = 0; i < under_way->len; i++) {
         const Replica *r = under_way->pdata[i];
-        double stated_ms = (double)(r->expected_ms - r->ordered_ms);
-        if ((double)(now_ms - r->ordered_ms) < stated_ms * TRIAL_PROGRESS) {
+        double declared_ms = (double)(r->expected_ms - r->ordered_ms);
+        if ((double)(now_ms - r->ordered_ms) < declared_ms * TRIAL_PROGRESS) {
             return false;
         }
     }
