--- a/src/mp.c
+++ b/src/mp.c
@@ -2,28 +2,31 @@
 
 #include <string.h>
 
-#define LATE_LOAD_POLL_MS 400 /* between questions about a load that is late  \
-                               */
-#define ADAPTER_LOAD_MS 9     /* 5 to 6.7 ms, and the way of the order */
-/* A report's numbers are of now, its lists of some 200 ms ago: what it lists
-   is believed only when no order was accepted in this time before it. */
+/* Between reports while the upstream reports an order in progress. */
+#define LATE_LOAD_POLL_MS 400
+/* An adapter loads in 5 to 6.7 ms, to which the latency of the order adds. */
+#define ADAPTER_LOAD_MS 9
+/* The lists in a report are about 200 ms older than its numbers.  They are
+   used only if no order was accepted for this long before the report. */
 #define REPORT_LAG_MS 450
-/* An entry is written when a load or unload ends, and read so much later at
-   most while the store answers. */
+/* The entry of an upstream is written at the end of a load or unload.  It is
+   read at most this much later while the store answers. */
 #define ENTRY_LAG_MS 1500
 #define REPORT_INTERVAL_MS 150
-/* Who begins to place knows none: thousands of answers at once would come late
-   for a VM with a part of a core, and be taken for upstreams that are away. */
+/* A new leader needs a report of every upstream.  On a VM with a fraction of a
+   core thousands of answers at once would be handled too late, and their
+   upstreams would be taken for unreachable. */
 #define MAX_REPORTS_PENDING 96
 #define MAX_REPORT_BACKOFFS 3
-#define CONFLICT_RETRY_MS 25 /* after a conflict with our own running order   \
-                              */
-/* An unload waits for its runs; a conflict in this time after it says no
-   more than that. */
+/* After a conflict, most likely with our own running order. */
+#define CONFLICT_RETRY_MS 25
+/* An unload waits for running requests: a conflict within this time after it
+   is expected and no sign of unknown content. */
 #define UNLOAD_DRAIN_MS 1200
-/* Between questions to an upstream whose calls break off. */
+/* Between reports requested for broken connections of one upstream. */
 #define SUSPECT_INTERVAL_MS 500
-/* A model that is held and still waited for: what we believe is wrong. */
+/* If requests wait this long for a model with a usable replica, the known
+   content of its upstream may be wrong. */
 #define VERIFY_AFTER_MS 700
 
 /* ---- memory ------------------------------------------------------------- */
@@ -54,7 +57,7 @@
     g_free(model);
 }
 
-/* What it holds is no longer listed with its models. */
+/* Remove U from the holders of the models of REPLICAS. */
 static void
 unlink_replicas(Up *u, const GPtrArray *replicas)
 {
@@ -64,6 +67,7 @@
     }
 }
 
+/* Remove U from the copies of the models that it has cached. */
 static void
 unlink_copies(Up *u)
 {
@@ -172,7 +176,7 @@
                : g_hash_table_lookup(u->service->models, model->name);
 }
 
-/* Adapters come and go beside models, up to the most that fit. */
+/* Memory for as many adapters of the largest size as the service allows. */
 static uint32_t
 compute_adapter_reserve_mb(const DepService *s)
 {
@@ -252,7 +256,7 @@
     dep_unref_config(former);
 }
 
-/* ---- what is known of upstreams ----------------------------------------- */
+/* ---- content of upstreams ----------------------------------------------- */
 
 Replica *
 mp_find_replica(const Up *u, const Model *model)
@@ -392,9 +396,10 @@
     return c;
 }
 
-/* An entry is written when a load ends.  One from before the order does not
-   list the model: what is loaded from the weight store has no copy there, so
-   it wasn't held for long. */
+/* Finish the loads whose models are listed in ENTRY, which is written when a
+   load ends.  An entry from before the order can't list the model: it is being
+   loaded from the weight store as the upstream has no copy, so the upstream
+   has not held it for long. */
 static void
 finish_reported_loads(Mp *m, Up *u, uint64_t now_ms, const DepUpstream *entry)
 {
@@ -411,8 +416,8 @@
     }
 }
 
-/* An order that acted late, of us or of a VM that placed before, shows as
-   models that we don't expect there, or miss. */
+/* False shows that a delayed order of this or a former leader took effect:
+   ENTRY lists an unexpected model or lacks an expected one. */
 static bool
 matches_entry(const Mp *m, const Up *u, const DepUpstream *entry)
 {
@@ -529,7 +534,7 @@
     m->out.request_report(m->out.ctx, u->entry);
 }
 
-/* A crash breaks off many calls at once: one question answers for them all. */
+/* A crash breaks many connections at once, for which one report is enough. */
 void
 mp_on_suspected(Mp *m, uint64_t now_ms, const char *id)
 {
@@ -542,8 +547,8 @@
     request_report(m, u);
 }
 
-/* What was known of a replica before is kept.  Asking makes it no newer: or
-   each report would keep all that is idle there from making room. */
+/* Keep what was known of a replica before the report.  A report must not count
+   as a use, or it would protect idle replicas from eviction. */
 static void
 keep_replica_state(Replica *r, const GPtrArray *old)
 {
@@ -598,8 +603,9 @@
     u->unreached = !reached;
 }
 
-/* One that doesn't answer is asked less often each time, as a crash may keep
-   half of all away for seconds; its entry tells when it starts again. */
+/* Reports of an upstream that does not answer are requested at doubling
+   intervals, as a crash may make half of all upstreams unreachable for
+   seconds.  A restart is noticed by its entry. */
 static uint64_t
 get_report_interval_ms(Up *u, bool answered)
 {
@@ -617,8 +623,8 @@
     u->report_pending = false;
     u->next_report_ms = now_ms + get_report_interval_ms(u, report != NULL);
     if (!report && !u->unreached) {
-        /* Asked again until it answers: its content is another if it has
-           restarted. */
+        /* Request reports until it answers: if it has restarted its content
+           has changed. */
         invalidate_content(u, now_ms);
     }
     set_reached(m, u, report != NULL);
@@ -627,7 +633,7 @@
         return;
     }
     u->busy = report && report->busy;
-    /* While an order is carried out its outcome is not in the models yet. */
+    /* The report does not yet include the effect of an order in progress. */
     if (u->busy) {
         u->next_report_ms = now_ms + LATE_LOAD_POLL_MS;
     }
@@ -636,13 +642,13 @@
     }
     bool same_life = !report->born_ms || !u->entry->born_ms ||
                      report->born_ms == u->entry->born_ms;
-    /* Reports lag: this one may be from before our last order. */
+    /* The report may be from before our last order. */
     if (same_life && report->sequence >= u->sequence) {
         apply_report(m, u, now_ms, report);
     }
 }
 
-/* ---- answers to orders -------------------------------------------------- */
+/* ---- results of orders -------------------------------------------------- */
 
 static void
 add_copies(Up *u, Model *model)
@@ -660,8 +666,8 @@
 {
     Replica *r = mp_find_replica(u, u->order_model);
     if (u->order_unload) {
-        /* The next order finds it in progress, or done: no more is needed
-           to count its memory as free at that moment. */
+        /* Its memory counts as free from now on: until the unload is done the
+           upstream refuses the next order with a conflict. */
         u->unloaded_ms = now_ms;
         if (r) {
             remove_replica(u, r);
@@ -688,7 +694,7 @@
     Replica *r = mp_find_replica(u, u->order_model);
     Adapter *a = r ? find_adapter(r, u->order_adapter) : NULL;
     if (u->order_unload && a) {
-        /* It goes on to take its place until it is reported gone. */
+        /* It occupies its slot until a report no longer lists it. */
         a->leaving = true;
     }
     else if (!u->order_unload && r && !a) {
@@ -696,7 +702,7 @@
     }
 }
 
-/* An adapter that no request used was unloaded at once. */
+/* The adapter was not in use and has been unloaded already. */
 static void
 remove_adapter(Up *u)
 {
@@ -721,8 +727,9 @@
     u->told = false;
 }
 
-/* The unload that took it out of use was not accepted, as far as is known:
-   left out of use it would be missed by callers and not be loaded again. */
+/* The unload is not known to have been accepted.  The replica is published
+   again; otherwise its callers could not use it, and it would not be loaded
+   elsewhere. */
 static void
 cancel_unload(Up *u)
 {
@@ -755,7 +762,8 @@
         remove_adapter(u);
         return;
     }
-    /* Whether this counts as accepted is not told: ask. */
+    /* The answer does not say whether the order counts in the sequence, so a
+       report is needed. */
     u->order_load_ms = 0;
     apply_order(m, u, now_ms);
     invalidate_content(u, now_ms);
@@ -763,23 +771,25 @@
 }
 
 void
-mp_on_order_result(Mp *m, uint64_t now_ms, const char *id, MpOrderResult end)
+mp_on_order_result(Mp *m, uint64_t now_ms, const char *id,
+                   MpOrderResult result)
 {
     Up *u = g_hash_table_lookup(m->ups, id);
     if (!u || !u->ordered) {
         return;
     }
     u->ordered = false;
-    if (u->order_from_store && end != MP_ORDER_ACCEPTED &&
-        end != MP_ORDER_UNKNOWN) {
+    if (u->order_from_store && result != MP_ORDER_ACCEPTED &&
+        result != MP_ORDER_UNKNOWN) {
         mp_cancel_store_start(m, u->order_ms);
     }
-    if (u->order_unload && !u->order_adapter && end != MP_ORDER_ACCEPTED) {
+    if (u->order_unload && !u->order_adapter && result != MP_ORDER_ACCEPTED) {
         cancel_unload(u);
     }
-    /* One whose answer is missing may be well: it is asked first. */
-    set_reached(m, u, end != MP_ORDER_NOT_SENT);
-    switch (end) {
+    /* If only the answer is missing the upstream may be healthy: a report is
+       requested first. */
+    set_reached(m, u, result != MP_ORDER_NOT_SENT);
+    switch (result) {
     case MP_ORDER_ACCEPTED:
         on_accepted(m, u, now_ms);
         break;
@@ -805,11 +815,11 @@
     }
 }
 
-/* ---- the round ---------------------------------------------------------- */
+/* ---- tick --------------------------------------------------------------- */
 
-/* Held for long, as we believe, and still waited for: ask again.  Until the
-   answer it goes on to be used: a gateway that is cut off from us waits for
-   what others have long had. */
+/* Request a report if requests keep waiting for a model that U should have
+   usable.  Until the answer U stays in use: the cause may be a single gateway
+   that is cut off from the leader and has not received the update. */
 static void
 verify_waited_models(Mp *m, uint64_t now_ms, Up *u)
 {
@@ -917,8 +927,9 @@
     publish_changes(m, now_ms, last_ms);
 }
 
-#define RECENT_ANSWER_MS                                                      \
-    1500 /* an answer that began there so long ago still counts */
+/* An upstream whose last answer began within this time is in use by gateways.
+ */
+#define RECENT_ANSWER_MS 1500
 
 static bool
 is_cut_off(const Up *u, uint64_t now_ms, GHashTable *linked)
