--- a/src/mp.c
+++ b/src/mp.c
@@ -18,7 +18,7 @@
    upstreams would be taken for unreachable. */
 #define MAX_REPORTS_PENDING 96
 #define MAX_REPORT_BACKOFFS 3
-/* After a conflict, most likely with our own running order. */
+/* Before the next order after a conflict with our own running order. */
 #define CONFLICT_RETRY_MS 25
 /* An unload waits for running requests: a conflict within this time after it
    is expected and no sign of unknown content. */
--- a/src/mp_demand.c
+++ b/src/mp_demand.c
@@ -3,19 +3,19 @@
 #include <math.h>
 #include <string.h>
 
-#define IDLE_RATE 0.0005  /* uses a second; the model is idle */
-#define IDLE_CHECK_MS 500 /* between looks for what is idle */
-/* Uses of a model in so long make its rate. */
+#define IDLE_RATE 0.0005  /* arrivals a second; below it a model is idle */
+#define IDLE_CHECK_MS 500 /* between checks for idle models */
+/* Time constants of the exponential decay of rates. */
 #define RATE_WINDOW_MS 5000.
-#define REFUSED_WINDOW_MS 2000. /* refusals in so long make their rate */
+#define REFUSED_WINDOW_MS 2000.
 
 /* ---- rates -------------------------------------------------------------- */
 
-/* Of RATE as it stood at THEN_MS what counts now. */
+/* RATE, last updated at THEN_MS, as of NOW_MS. */
 static double
-decay(double rate, uint64_t now_ms, uint64_t then_ms, double memory_ms)
+decay(double rate, uint64_t now_ms, uint64_t then_ms, double window_ms)
 {
-    return rate > 0 ? rate * exp(-(double)(now_ms - then_ms) / memory_ms) : 0;
+    return rate > 0 ? rate * exp(-(double)(now_ms - then_ms) / window_ms) : 0;
 }
 
 double
@@ -66,13 +66,13 @@
     }
 }
 
-/* ---- wants -------------------------------------------------------------- */
+/* ---- demand ------------------------------------------------------------- */
 
 void
-mp_free_adapter_demand(void *wanted)
+mp_free_adapter_demand(void *demand)
 {
-    g_free(((AdapterDemand *)wanted)->name);
-    g_free(wanted);
+    g_free(((AdapterDemand *)demand)->name);
+    g_free(demand);
 }
 
 Demand *
@@ -117,25 +117,26 @@
     }
 }
 
-/* ---- how much one replica serves well ----------------------------------- */
+/* ---- capacity of a replica ---------------------------------------------- */
 
-/* Fewer that are slow have another reason than too many beside them. */
+/* Slow requests at a load below this have another cause than the load. */
 #define MIN_CAPACITY 10.
 #define MAX_CAPACITY 64.
-#define MIN_RUNNING 3. /* requests at once; with fewer chance decides */
+/* Running requests of a model, in the mean; fewer are too small a sample. */
+#define MIN_RUNNING 3.
 #define ESTIMATE_INTERVAL_MS 1000
-#define OVERLOAD_SLOW_SHARE                                                   \
-    0.15 /* of requests, from which on a replica has too many                 \
-          */
-#define HEALTHY_SLOW_SHARE 0.05 /* up to which it may have more */
-#define DECREASE_FACTOR 0.8     /* of the load that was too much */
-#define INCREASE_FACTOR 1.1     /* of the load that was served well */
-#define LOGGED_CHANGE 0.15      /* that is worth a line in the log */
-#define DEFAULT_WEIGHT 0.05     /* how much one model says of the others */
-
-/* What prompts take to read, how long answers are and what else runs there
-   differs by model, site and hour; whether callers are served in time shows it
-   all. */
+/* Share of slow requests above which a replica is overloaded. */
+#define OVERLOAD_SLOW_SHARE 0.15
+/* Share of slow requests up to which its capacity may be raised. */
+#define HEALTHY_SLOW_SHARE 0.05
+#define DECREASE_FACTOR 0.8 /* of the load that was too high */
+#define INCREASE_FACTOR 1.1 /* of the load that was served in time */
+#define LOGGED_CHANGE 0.15  /* relative change that is logged */
+#define DEFAULT_WEIGHT 0.05 /* of one estimate in the one for new models */
+
+/* The estimate follows the share of slow requests.  That reflects the lengths
+   of prompts and answers and the other work on the machine, which differ by
+   model, site and hour. */
 static void
 estimate_capacity(Mp *m, Model *model, uint64_t passed_ms)
 {
@@ -190,7 +191,7 @@
     }
 }
 
-/* ---- uses --------------------------------------------------------------- */
+/* ---- requests at upstreams ---------------------------------------------- */
 
 static void
 free_use(void *p)
@@ -246,7 +247,7 @@
     return u;
 }
 
-/* Also the end of a use counts as one: from then on it is idle. */
+/* The end of a use counts as well: the replica is idle from then on. */
 static void
 note_used(const Mp *m, uint64_t now_ms, const DmUse *use)
 {
@@ -285,7 +286,7 @@
     }
 }
 
-/* A request that uses an adapter uses its model as well. */
+/* A request for an adapter uses its model as well. */
 bool
 mp_is_in_use(const Up *u, const Model *model, const char *adapter)
 {
@@ -299,7 +300,7 @@
     return false;
 }
 
-/* ---- all of it ---------------------------------------------------------- */
+/* ---- updates ------------------------------------------------------------ */
 
 static void
 clear_levels(Mp *m, uint64_t now_ms)
@@ -352,10 +353,10 @@
 }
 
 static gboolean
-is_idle_adapter(gpointer key, gpointer wanted, gpointer now_ms)
+is_idle_adapter(gpointer key, gpointer demand, gpointer now_ms)
 {
     (void)key;
-    return !has_demand(&((AdapterDemand *)wanted)->demand,
+    return !has_demand(&((AdapterDemand *)demand)->demand,
                        *(uint64_t *)now_ms);
 }
 
@@ -395,8 +396,8 @@
     return false;
 }
 
-/* Callers may ask for anything: what is not declared stays no longer than
-   they do. */
+/* Callers may request any name.  Models that are not declared are dropped when
+   nothing refers to them any more. */
 static bool
 is_unreferenced(const Mp *m, const Model *model)
 {
