--- a/src/dm.c
+++ b/src/dm.c
@@ -3,9 +3,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#define MAX_KEY 512 /* of a row; a longer name is cut */
+#define MAX_KEY 512 /* of a sum; longer names are truncated */
 
-/* ---- what is told ------------------------------------------------------- */
+/* ---- updates ------------------------------------------------------------ */
 
 static void
 free_want(void *p)
@@ -84,51 +84,52 @@
     g_ptr_array_add(d->began, b);
 }
 
-/* ---- the ledger --------------------------------------------------------- */
+/* ---- the aggregate ------------------------------------------------------ */
 
-typedef enum { ROW_MODEL, ROW_USE, ROW_BEGAN } RowKind;
+typedef enum { SUM_MODEL, SUM_USE, SUM_BEGAN } SumKind;
 
-/* Waiting and running; or running, queued and slow. */
+/* Waiting and running of a model; or running, queued and slow of a use. */
 #define LEVELS 3
-#define FLOWS 3 /* arrived, hurried and refused; or began */
+#define COUNTS 3 /* arrived, hurried and refused; or began */
 
-/* One sum. */
+/* The sum over all sources for one model, use or upstream. */
 typedef struct {
     char *key;
-    RowKind kind;
+    SumKind kind;
     char *upstream;
     char *model;
     char *adapter;
     uint32_t levels[LEVELS];
-    uint32_t told[LEVELS];  /* as last collected */
-    uint32_t flows[FLOWS];  /* since then */
-    uint32_t contributions; /* sources that have a part in it */
-    bool changed;           /* it is in the list of changes */
-} Row;
-
-/* What one source has in a sum. */
+    uint32_t told[LEVELS];   /* levels as last collected */
+    uint32_t counts[COUNTS]; /* counts since then */
+    uint32_t contributions;  /* sources that contribute to it; 0: freed by the
+                                next collection */
+    bool changed;            /* it is in Dm.changes */
+} Sum;
+
+/* The share of one source in a sum. */
 typedef struct {
     uint32_t levels[LEVELS];
-    uint32_t update; /* the last word of the source that named it */
+    uint32_t update; /* number of the source's last update that named it */
 } Contribution;
 
 typedef struct {
-    GHashTable *contributions; /* Row -> Part */
+    GHashTable *contributions; /* Sum -> Contribution */
     uint64_t last_update_ms;
-    uint32_t update;
-    uint32_t waiting; /* callers, of all its wants */
+    uint32_t update;  /* number of its last update */
+    uint32_t waiting; /* requests, for all models */
 } Source;
 
 struct Dm {
-    GHashTable *rows;    /* key -> Row */
+    GHashTable *sums;    /* key -> Sum */
     GHashTable *sources; /* name -> Source */
-    GPtrArray *changes;  /* Row */
+    GPtrArray *changes;  /* Sum: to be collected */
 };
 
 static void
-free_row(void *p)
+free_sum(void *p)
 {
-    Row *r = p;
+    Sum *r = p;
     g_free(r->key);
     g_free(r->upstream);
     g_free(r->model);
@@ -148,7 +149,7 @@
 dm_create(void)
 {
     Dm *l = g_new0(Dm, 1);
-    l->rows = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_row);
+    l->sums = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_sum);
     l->sources =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_source);
     l->changes = g_ptr_array_new();
@@ -160,12 +161,12 @@
 {
     g_ptr_array_free(l->changes, TRUE);
     g_hash_table_destroy(l->sources);
-    g_hash_table_destroy(l->rows);
+    g_hash_table_destroy(l->sums);
     g_free(l);
 }
 
 static void
-mark_changed(Dm *l, Row *r)
+mark_changed(Dm *l, Sum *r)
 {
     if (!r->changed) {
         r->changed = true;
@@ -173,32 +174,32 @@
     }
 }
 
-static Row *
-get_row(Dm *l, RowKind kind, const char *upstream, const char *model,
+static Sum *
+get_sum(Dm *l, SumKind kind, const char *upstream, const char *model,
         const char *adapter)
 {
     char key[MAX_KEY];
     snprintf(key, sizeof(key), "%d %s %s%s%s", kind, upstream ? upstream : "",
              model ? model : "", adapter ? "/" : "", adapter ? adapter : "");
-    Row *r = g_hash_table_lookup(l->rows, key);
+    Sum *r = g_hash_table_lookup(l->sums, key);
     if (!r) {
-        r = g_new0(Row, 1);
+        r = g_new0(Sum, 1);
         r->key = g_strdup(key);
         r->kind = kind;
         r->upstream = g_strdup(upstream);
         r->model = g_strdup(model);
         r->adapter = g_strdup(adapter);
-        g_hash_table_insert(l->rows, r->key, r);
-        mark_changed(l, r); /* one that comes to nothing goes again */
+        g_hash_table_insert(l->sums, r->key, r);
+        mark_changed(l, r); /* freed by dm_collect if nothing contributes */
     }
     return r;
 }
 
 static void
-change_levels(Dm *l, Source *s, Row *r, Contribution *p,
+change_levels(Dm *l, Source *s, Sum *r, Contribution *p,
               const uint32_t levels[LEVELS])
 {
-    if (r->kind == ROW_MODEL) {
+    if (r->kind == SUM_MODEL) {
         s->waiting += levels[0] - p->levels[0];
     }
     for (int i = 0; i < LEVELS; i++) {
@@ -222,7 +223,7 @@
 }
 
 static void
-set_contribution(Dm *l, Source *s, Row *r, const uint32_t levels[LEVELS])
+set_contribution(Dm *l, Source *s, Sum *r, const uint32_t levels[LEVELS])
 {
     Contribution *p = g_hash_table_lookup(s->contributions, r);
     if (!p && is_zero(levels)) {
@@ -238,16 +239,16 @@
 }
 
 static void
-remove_contribution(Dm *l, Source *s, Row *r, Contribution *p)
+remove_contribution(Dm *l, Source *s, Sum *r, Contribution *p)
 {
     static const uint32_t none[LEVELS];
     change_levels(l, s, r, p, none);
     r->contributions--;
-    mark_changed(l, r); /* it may go */
+    mark_changed(l, r); /* freed by dm_collect if it was the last one */
 }
 
-/* Parts without a share go; if WHOLE also those that the last word left
-   out. */
+/* Remove contributions that are zero, and after a snapshot (WHOLE) those that
+   it left out. */
 static void
 sweep_contributions(Dm *l, Source *s, bool whole)
 {
@@ -266,10 +267,10 @@
 }
 
 static void
-add_flow(Dm *l, Row *r, int flow, uint32_t count)
+add_count(Dm *l, Sum *r, int index, uint32_t count)
 {
     if (count > 0) {
-        r->flows[flow] += count;
+        r->counts[index] += count;
         mark_changed(l, r);
     }
 }
@@ -290,20 +291,20 @@
 static bool
 apply_model_demand(Dm *l, Source *s, const DmModelDemand *w)
 {
-    Row *r = get_row(l, ROW_MODEL, NULL, w->model, w->adapter);
+    Sum *r = get_sum(l, SUM_MODEL, NULL, w->model, w->adapter);
     uint32_t before = r->levels[0];
     uint32_t levels[LEVELS] = {w->waiting, w->running, 0};
     set_contribution(l, s, r, levels);
-    add_flow(l, r, 0, w->arrived);
-    add_flow(l, r, 1, w->hurried);
-    add_flow(l, r, 2, w->refused);
+    add_count(l, r, 0, w->arrived);
+    add_count(l, r, 1, w->hurried);
+    add_count(l, r, 2, w->refused);
     return r->levels[0] > before;
 }
 
 static void
 apply_use(Dm *l, Source *s, const DmUse *u)
 {
-    Row *r = get_row(l, ROW_USE, u->upstream, u->model, u->adapter);
+    Sum *r = get_sum(l, SUM_USE, u->upstream, u->model, u->adapter);
     uint32_t levels[LEVELS] = {u->running, u->queued, u->slow};
     set_contribution(l, s, r, levels);
 }
@@ -324,8 +325,8 @@
     }
     for (guint i = 0; i < d->began->len; i++) {
         const DmBegan *b = d->began->pdata[i];
-        add_flow(l, get_row(l, ROW_BEGAN, b->upstream, NULL, NULL), 0,
-                 b->count);
+        add_count(l, get_sum(l, SUM_BEGAN, b->upstream, NULL, NULL), 0,
+                  b->count);
     }
     sweep_contributions(l, s, d->whole);
     return more_waiting;
@@ -368,35 +369,35 @@
     }
 }
 
-/* ---- sums that changed -------------------------------------------------- */
+/* ---- collection --------------------------------------------------------- */
 
 static void
-add_row(DmDemand *d, Row *r)
+report_sum(DmDemand *d, Sum *r)
 {
-    if (r->kind == ROW_MODEL) {
+    if (r->kind == SUM_MODEL) {
         DmModelDemand *w = dm_add_model_demand(d, r->model, r->adapter);
         w->waiting = r->levels[0];
         w->running = r->levels[1];
-        w->arrived = r->flows[0];
-        w->hurried = r->flows[1];
-        w->refused = r->flows[2];
+        w->arrived = r->counts[0];
+        w->hurried = r->counts[1];
+        w->refused = r->counts[2];
     }
-    else if (r->kind == ROW_USE) {
+    else if (r->kind == SUM_USE) {
         DmUse *u = dm_add_use(d, r->upstream, r->model, r->adapter);
         u->running = r->levels[0];
         u->queued = r->levels[1];
         u->slow = r->levels[2];
     }
     else {
-        dm_add_began(d, r->upstream, r->flows[0]);
+        dm_add_began(d, r->upstream, r->counts[0]);
     }
 }
 
 static bool
-has_flow(const Row *r)
+has_count(const Sum *r)
 {
-    for (int i = 0; i < FLOWS; i++) {
-        if (r->flows[i] > 0) {
+    for (int i = 0; i < COUNTS; i++) {
+        if (r->counts[i] > 0) {
             return true;
         }
     }
@@ -404,34 +405,34 @@
 }
 
 static bool
-has_update(const Row *r, bool whole)
+is_unreported(const Sum *r, bool whole)
 {
     if (whole) {
-        return !is_zero(r->levels) || has_flow(r);
+        return !is_zero(r->levels) || has_count(r);
     }
-    return memcmp(r->told, r->levels, sizeof(r->told)) != 0 || has_flow(r);
+    return memcmp(r->told, r->levels, sizeof(r->told)) != 0 || has_count(r);
 }
 
 static void
-collect_row(Dm *l, DmDemand *d, Row *r)
+collect_sum(Dm *l, DmDemand *d, Sum *r)
 {
-    if (has_update(r, d->whole)) {
-        add_row(d, r);
+    if (is_unreported(r, d->whole)) {
+        report_sum(d, r);
     }
     memcpy(r->told, r->levels, sizeof(r->told));
-    memset(r->flows, 0, sizeof(r->flows));
+    memset(r->counts, 0, sizeof(r->counts));
     r->changed = false;
     if (r->contributions == 0) {
-        g_hash_table_remove(l->rows, r->key);
+        g_hash_table_remove(l->sums, r->key);
     }
 }
 
 static void
-list_all_rows(Dm *l)
+mark_all_changed(Dm *l)
 {
     GHashTableIter it;
     gpointer v;
-    g_hash_table_iter_init(&it, l->rows);
+    g_hash_table_iter_init(&it, l->sums);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         mark_changed(l, v);
     }
@@ -442,10 +443,10 @@
 {
     DmDemand *d = dm_create_demand(whole);
     if (whole) {
-        list_all_rows(l);
+        mark_all_changed(l);
     }
     for (guint i = 0; i < l->changes->len; i++) {
-        collect_row(l, d, l->changes->pdata[i]);
+        collect_sum(l, d, l->changes->pdata[i]);
     }
     g_ptr_array_set_size(l->changes, 0);
     return d;
--- a/src/dm.h
+++ b/src/dm.h
@@ -1,49 +1,55 @@
-/* dm: what the callers of many gateways want and use, summed.
+/* dm: the demand of many gateways, aggregated: which models their callers ask
+   for, and which upstreams serve them.
 
-   The load that it answers: hundreds of gateways with a few requests each.
-   Each tells several times a second, and little of it differs from what it
-   told before.  So a source tells all it has once, and then only the rows
-   that changed; the ledger hands on only the sums that changed.  Ledgers can
-   stand behind each other: what one collects is what another takes.
+   A source (a gateway, or a relay with the aggregate of its gateways) sends a
+   snapshot once and then deltas with the rows that changed.  dm_apply adds an
+   update to the aggregate; dm_collect returns the sums that changed, which can
+   be applied to another aggregate as they are.  Levels (such as waiting) are
+   current values of a source.  Counts (such as arrived) are added up and
+   cover the time since the previous update or collection.
 
-   Values without threads, I/O or clock. */
+   Values without threads, I/O or clock.
+
+   Workload: hundreds of gateways with a few requests each, which report
+   several times a second with few changes between reports. */
 #ifndef DM_H
 #define DM_H
 
 #include "bg_base.h"
 
-/* What callers of one model or adapter want.  WAITING and RUNNING are as they
-   stand; the others have come since the last word. */
+/* Demand for one model or adapter.  Waiting and running are levels; the others
+   are counts since the last update. */
 typedef struct {
     char *model;
     char *adapter;    /* NULL: the model itself */
-    uint32_t waiting; /* callers, for it to be loaded */
+    uint32_t waiting; /* requests, for it to be loaded */
     uint32_t running;
     uint32_t arrived;
-    uint32_t hurried; /* of these, that are late after a load from a disk */
-    uint32_t refused; /* of these, as too many wait already */
+    uint32_t hurried; /* of these, with too little time for a load from disk */
+    uint32_t refused; /* of these, because too many wait already */
 } DmModelDemand;
 
-/* Requests on one upstream, as they stand. */
+/* Requests on one upstream for one model or adapter; levels. */
 typedef struct {
     char *upstream;
     char *model;
     char *adapter; /* NULL: the model itself */
     uint32_t running;
-    uint32_t queued; /* of these, whose answer has not begun */
-    uint32_t slow;   /* of these, that are about to come late: they wait for
-                        their first byte, or pause, for much of what their
-                        route allows */
+    uint32_t queued; /* of these, waiting for the first byte of the answer */
+    uint32_t slow;   /* of these, about to be late: the wait for the first
+                        byte, or a pause in the answer, has used up much of
+                        what their route allows */
 } DmUse;
 
-/* Answers that began on one upstream since the last word. */
+/* Answers that began on one upstream; a count since the last update. */
 typedef struct {
     char *upstream;
     uint32_t count;
 } DmBegan;
 
 typedef struct {
-    bool whole;       /* a row that is not named is zero; else unchanged */
+    bool whole;       /* a snapshot: rows left out are zero; otherwise a delta:
+                         they are unchanged */
     GPtrArray *wants; /* DmModelDemand */
     GPtrArray *uses;  /* DmUse */
     GPtrArray *began; /* DmBegan */
@@ -61,16 +67,17 @@
 
 Dm *dm_create(void);
 void dm_destroy(Dm *l);
-/* The word of SOURCE at NOW_MS.  True: more callers wait than before. */
+/* Apply an update of SOURCE.  True: more requests wait than before for some
+   model or adapter. */
 bool dm_apply(Dm *l, uint64_t now_ms, const char *source, const DmDemand *d);
-/* SOURCE is gone, with all that it wanted and used. */
+/* Remove SOURCE and its contributions. */
 void dm_remove_source(Dm *l, const char *source);
-/* So are those that said nothing for LIFE_MS. */
+/* Remove all sources without an update for LIFE_MS. */
 void dm_expire_sources(Dm *l, uint64_t now_ms, uint32_t life_ms);
-/* Sums that changed since the last collection, or all of them if WHOLE, and
-   what came since then; to be freed by dm_destroy_demand. */
+/* The sums that changed since the last collection, or all of them if WHOLE,
+   with the counts since then; free with dm_destroy_demand. */
 DmDemand *dm_collect(Dm *l, bool whole);
-/* Callers of SOURCE wait. */
+/* SOURCE has waiting requests. */
 bool dm_has_waiting(const Dm *l, const char *source);
 uint32_t dm_count_waiting(const Dm *l);
 uint32_t dm_count_sources(const Dm *l);
