--- a/src/mp_store.c
+++ b/src/mp_store.c
@@ -2,13 +2,19 @@
 
 #include <math.h>
 
-#define LATE_SHARE 0.3 /* of its stated time: then a load is late */
-/* Ended in its stated time: so much more, and the lag of the word of it. */
+/* A load is late when it exceeds its declared time by this share of it. */
+#define LATE_SHARE 0.3
+/* A load counts as in time up to this share of its declared time beyond it,
+   and the delay of the report of its end. */
 #define IN_TIME_SHARE 0.1
 #define IN_TIME_MS 450
-#define OVERLAP_SHARE 0.25 /* of a load's time, that others were beside it */
-#define OVERDUE_MS 1000    /* a load that is overdue ends about then */
-/* The store may have been slow for other reasons: more are tried again. */
+/* Share of a load's time for which a further load must have overlapped with it
+   to count as concurrent. */
+#define OVERLAP_SHARE 0.25
+/* Assumed remaining time of an overdue load. */
+#define OVERDUE_MS 1000
+/* The upper bound of concurrent loads is dropped so long after the last late
+   load, as the store may have been slow for other reasons. */
 #define CEILING_LIFETIME_MS 60000
 
 /* Replicas that are being loaded from the store. */
@@ -31,8 +37,8 @@
     return loads;
 }
 
-/* Orders that are out, and upstreams at one that we don't know: most likely a
-   load that the VM before us ordered. */
+/* Pending orders, and upstreams with an order in progress that we don't know,
+   most likely a load ordered by the former leader. */
 static uint32_t
 count_uncertain_loads(const Mp *m)
 {
@@ -54,7 +60,7 @@
     return loads->len + count_uncertain_loads(m);
 }
 
-/* ---- how many it serves ---- */
+/* ---- limit of concurrent loads ------------------------------------------ */
 
 void
 mp_integrate_store_loads(Mp *m, uint64_t now_ms)
@@ -65,7 +71,7 @@
     m->loads_in_flight = mp_count_store_loads(m);
 }
 
-/* Loads side by side while R was loaded, in the mean. */
+/* Mean number of concurrent loads while R was loaded, with R's own. */
 static double
 get_mean_concurrency(const Mp *m, uint64_t now_ms, const Replica *r)
 {
@@ -75,9 +81,9 @@
                : 1;
 }
 
-/* Beyond what the store serves at full speed all loads take longer, in
-   proportion: the share of its stated time that a load came late by tells how
-   many are served. */
+/* With more loads than the store serves at full speed, all take longer in
+   proportion.  So the number that it serves is the concurrency divided by the
+   slowdown of R's load. */
 static void
 note_late_load(Mp *m, uint64_t now_ms, const Replica *r)
 {
@@ -89,9 +95,9 @@
     m->store_late_ms = now_ms;
 }
 
-/* A load has ended.  In its time: as many as were beside it for a quarter of
-   it and more are served at full speed; where that holds of two and more, one
-   more is begun at once: it can cost the others a half of their time. */
+/* If the load was in time, the store serves as many concurrent loads at full
+   speed.  From two on the limit is raised by one more, which can slow down the
+   others by half at most. */
 void
 mp_on_store_load_end(Mp *m, uint64_t now_ms, const Replica *r)
 {
@@ -114,8 +120,9 @@
     m->store.at_once = MAX(m->store.at_once, MIN(next, most));
 }
 
-/* Beyond what the store serves at full speed all loads take longer, so none
-   of them comes in time: fewer at once, of those that are missed most. */
+/* With more loads than the store serves at full speed none is in time.  The
+   limit is lowered without waiting for their end, so that the models with the
+   most waiting callers are loaded first. */
 void
 mp_check_overdue_loads(Mp *m, uint64_t now_ms, Up *u)
 {
@@ -133,10 +140,10 @@
 }
 
 void
-mp_set_store_limits(Mp *m, MpStoreLimits rate)
+mp_set_store_limits(Mp *m, MpStoreLimits limits)
 {
-    m->store.at_once = CLAMP(rate.at_once, 1, MP_MAX_STORE_LOADS);
-    m->store.most = MIN(rate.most, MP_MAX_STORE_LOADS);
+    m->store.at_once = CLAMP(limits.at_once, 1, MP_MAX_STORE_LOADS);
+    m->store.most = MIN(limits.most, MP_MAX_STORE_LOADS);
 }
 
 MpStoreLimits
@@ -145,11 +152,12 @@
     return m->store;
 }
 
-/* ---- may a load begin ---- */
+/* ---- start of a load ---------------------------------------------------- */
 
-/* A trial of one load more than is known to be served at full speed begins
-   when those under way have so much of their time behind them: where the store
-   can't, they come later by the rest at most, not after twice their time. */
+/* One load beyond the limit is tried when the others have reached this share
+   of their declared time.  If the store can't serve it at full speed, they are
+   delayed by the rest of their time at most instead of taking twice as long.
+ */
 #define TRIAL_PROGRESS 0.75
 
 static bool
@@ -173,15 +181,15 @@
     return true;
 }
 
-/* The weight store allows a number of loads begun in any window. */
+/* The weight store limits the number of loads started in any window. */
 #define STORE_WINDOW_MS 5000
-#define STORE_RATE_SHARE 0.85
-#define MAX_OVERTAKING 2 /* loads that go before others, at most */
-#define OVERTAKE_RATIO 3 /* times the callers */
+#define STORE_RATE_SHARE 0.85 /* of that limit that is used */
+#define MAX_OVERTAKING 2      /* loads beyond the limit of concurrent ones */
+#define OVERTAKE_RATIO 3      /* required ratio of the demands */
 
-/* Callers that miss what the weight store is loading now. */
+/* Demand for the models that are being loaded from the store. */
 static double
-count_callers_of_loads(const Mp *m, uint64_t now_ms)
+get_loading_demand(const Mp *m, uint64_t now_ms)
 {
     double n = 0;
     g_autoptr(GPtrArray) loads = list_loads(m);
@@ -192,15 +200,15 @@
     return n;
 }
 
-/* A model that far more callers miss than all that is being loaded does not
-   wait for that.  Where the store serves fewer at full speed they share it:
-   this one is there no later than if it had waited, the others take up to
-   twice their time. */
+/* A model with far more demand than all that are being loaded does not wait
+   for them.  If the store can't serve it at full speed the loads share the
+   store: this one ends no later than if it had waited, the others take up to
+   twice as long. */
 static bool
 may_overtake(const Mp *m, uint64_t now_ms, double gain, uint32_t loads)
 {
     return loads < m->store.at_once + MAX_OVERTAKING &&
-           gain > OVERTAKE_RATIO * (count_callers_of_loads(m, now_ms) + 1);
+           gain > OVERTAKE_RATIO * (get_loading_demand(m, now_ms) + 1);
 }
 
 bool
@@ -221,9 +229,9 @@
            may_overtake(m, now_ms, gain, loads);
 }
 
-/* It was not begun: counted, the two or three orders that are turned away
-   while an upstream makes room would use up what the store allows in a
-   window, and a model that everybody misses would wait for that. */
+/* Two or three orders are typically refused while an upstream still unloads.
+   If they counted they would use up the store's limit for the window, and a
+   model in high demand would have to wait. */
 void
 mp_cancel_store_start(Mp *m, uint64_t order_ms)
 {
@@ -235,10 +243,8 @@
     }
 }
 
-/* ---- when one ends ---- */
+/* ---- end of a load ------------------------------------------------------ */
 
-/* When each of the loads that the weight store serves side by side ends; 0: no
-   load is under way there. */
 void
 mp_list_store_slots(const Mp *m, uint64_t now_ms, uint64_t *free_in_ms)
 {
