--- a/src/lag.c
+++ b/src/lag.c
@@ -1,7 +1,7 @@
 #include "lag.h"
 
-/* Clocks of VMs drift by less than a hundredth: far less than what counts as
-   late in two of these. */
+/* The clocks of VMs drift by less than 1 %, which within two windows is far
+   less than what counts as late. */
 #define WINDOW_MS 15000
 
 void
--- a/src/lag.h
+++ b/src/lag.h
@@ -1,29 +1,32 @@
-/* lag: how late the words of a sender come, from the times that it writes into
-   them, without clocks that agree.
+/* lag: delay of a sender's messages, estimated from their time stamps without
+   synchronised clocks.
 
-   The load that it answers: a link on the way carries less than is sent, words
-   queue up there, and what was true seconds ago keeps coming at the usual
-   pace.
+   The least difference between receive time and time stamp, taken over the
+   last one to two windows, is the offset of the clocks plus the least delay.
+   A message's lag is what its difference exceeds that by.
 
-   No threads, I/O or clock. */
+   No threads, I/O or clock.
+
+   Workload: a link carries less than is sent, so messages queue up, and state
+   from seconds ago keeps arriving at the usual rate. */
 #ifndef LAG_H
 #define LAG_H
 
 #include "bg_base.h"
 
 typedef struct {
-    /* Least difference of the two clocks, of this window and the one before;
-       the clocks may drift. */
+    /* Least difference in this window and in the previous one.  Windows let
+       the estimate follow the drift of the clocks. */
     int64_t min_ms;
     int64_t last_min_ms;
-    uint64_t window_ms; /* when it began; 0: nothing was heard */
-    uint64_t late_ms;   /* the last word */
+    uint64_t window_ms; /* start of this window; 0: no message yet */
+    uint64_t late_ms;   /* lag of the last message */
 } Lag;
 
-/* Of another sender, or on another link. */
+/* Start again, for another sender or link. */
 void lag_reset(Lag *l);
-/* A word that was sent at SENT_MS by the sender's clock is there.  How much
-   later it came than those that came soonest, in ms. */
+/* A message that was sent at SENT_MS by the sender's clock has arrived.
+   Returns its lag in ms, relative to the fastest messages. */
 uint64_t lag_update(Lag *l, uint64_t now_ms, uint64_t sent_ms);
 
 #endif
--- a/src/mp.h
+++ b/src/mp.h
@@ -112,8 +112,8 @@
 /* Make all decisions that are due; orders are sent only if MAY_ORDER. */
 void mp_on_tick(Mp *m, uint64_t now_ms, bool may_order);
 
-/* Call VISIT for each model with waiting requests and no usable replica, with
-   the estimated time until it has one. */
+/* Call VISIT for each model in demand without a usable replica, with the
+   estimated time until it has one. */
 void mp_visit_waits(Mp *m, uint64_t now_ms,
                     void (*visit)(void *ctx, const char *model,
                                   uint32_t wait_ms),
--- a/src/mp_adapter.c
+++ b/src/mp_adapter.c
@@ -3,7 +3,8 @@
 #include <string.h>
 
 #define ADAPTER_MIN_IDLE_MS 300
-/* One without a free place is taken after all that have one. */
+/* Added to the cost of an upstream without a free adapter slot, so that any
+   with one is preferred. */
 #define FULL_COST 100
 
 static uint32_t
@@ -27,7 +28,7 @@
     return !(d && d->waiting > 0) && !mp_is_in_use(u, r->model, a->name);
 }
 
-/* The adapter least recently used that nobody uses now. */
+/* The least recently used of the adapters that are idle; NULL: none is. */
 static Adapter *
 pick_victim(const Mp *m, uint64_t now_ms, const Up *u, Model **model)
 {
@@ -66,7 +67,7 @@
     return false;
 }
 
-/* Held, or ordered, on an upstream that can be used. */
+/* Loaded or being loaded on a usable upstream. */
 static bool
 is_placed(const AdapterDemand *w)
 {
--- a/src/mp_publish.c
+++ b/src/mp_publish.c
@@ -1,17 +1,19 @@
 #include "mp_int.h"
 
-/* Between beginnings on an upstream, before anything is learnt: reading a
-   prompt of 3,000 tokens. */
+/* Initial interval between first bytes of answers on an upstream: the
+   processing of a prompt of 3,000 tokens. */
 #define INITIAL_INTERVAL_MS 80.
-#define MAX_SAMPLE_MS 1000 /* a longer silence of ours tells nothing */
-#define SAMPLE_WEIGHT 0.3  /* of a new sample: about the last second decides  \
-                            */
-#define MIN_QUEUED 3       /* so many wait: the upstream is not idle */
-
-/* ---- what upstreams hold ---------------------------------------------------
+/* Longest time between two samples; after a longer gap the sample is invalid.
  */
+#define MAX_SAMPLE_MS 1000
+/* Weight of a new sample, so that about the last second counts. */
+#define SAMPLE_WEIGHT 0.3
+/* Queued requests from which on the upstream is surely not idle. */
+#define MIN_QUEUED 3
+
+/* ---- usable models ------------------------------------------------------ */
 
-/* What gateways are to believe of U: what can be used now. */
+/* The models and adapters that gateways can use on U now. */
 static DepUpstream *
 make_view(const Up *u, uint64_t now_ms)
 {
@@ -41,7 +43,7 @@
     dep_destroy_upstream(view);
 }
 
-/* Loads end by the clock, so gateways are told when their time has come. */
+/* Most loads end by the clock, without an event that would cause an update. */
 bool
 mp_has_just_become_ready(const Up *u, uint64_t now_ms, uint64_t before_ms)
 {
@@ -60,10 +62,10 @@
     return false;
 }
 
-/* ---- how much is at them ------------------------------------------------ */
+/* ---- load of upstreams -------------------------------------------------- */
 
-/* Only where requests wait does the pause between beginnings tell how fast
-   the upstream is, and not how seldom it is asked. */
+/* The interval between first bytes shows the speed of an upstream only while
+   requests are queued; otherwise it shows how seldom requests arrive. */
 static void
 sample_start_interval(Up *u, uint64_t now_ms)
 {
@@ -74,10 +76,10 @@
         u->start_interval_ms = INITIAL_INTERVAL_MS;
     }
     if (waited && passed_ms <= MAX_SAMPLE_MS) {
-        double start_interval_ms = (double)passed_ms / MAX(l->began, 1);
-        if (l->began > 0 || start_interval_ms > u->start_interval_ms) {
+        double sample_ms = (double)passed_ms / MAX(l->began, 1);
+        if (l->began > 0 || sample_ms > u->start_interval_ms) {
             u->start_interval_ms +=
-                SAMPLE_WEIGHT * (start_interval_ms - u->start_interval_ms);
+                SAMPLE_WEIGHT * (sample_ms - u->start_interval_ms);
         }
     }
     l->began = 0;
@@ -85,13 +87,11 @@
     u->sampled_ms = now_ms;
 }
 
-/* ---- loads ------------------------------------------------------------- */
-
-/* Longer than reading any prompt, and the lag of what gateways tell. */
+/* Longer than the processing of any prompt plus the delay of reports. */
 #define STALLED_MS 1500
 
-/* Gateways see few answers of each upstream: alone they can't tell one that is
-   busy from one that hangs. */
+/* A single gateway sees too few answers of an upstream to distinguish a busy
+   one from one that hangs. */
 static bool
 is_stalled(const UpstreamLoad *l, uint64_t now_ms)
 {
@@ -124,7 +124,7 @@
     }
 }
 
-/* ---- how long callers wait ---------------------------------------------- */
+/* ---- waits for models --------------------------------------------------- */
 
 static uint32_t
 get_replica_wait_ms(const Replica *r, uint64_t now_ms)
@@ -135,7 +135,7 @@
     return ready_ms > now_ms ? (uint32_t)(ready_ms - now_ms) : 0;
 }
 
-#define ORDER_DELAY_MS 100 /* from a goal to its order, about */
+#define ORDER_DELAY_MS 100 /* typical time from a goal to its order */
 
 static uint32_t
 get_wait_ms(uint64_t now_ms, const Model *model)
@@ -198,7 +198,7 @@
             visit(ctx, model->name, wait_ms);
         }
     }
-    /* Those that need the weight store take turns there. */
+    /* Models that need the weight store are queued for its slots. */
     for (guint i = 0; i < shortages->len; i++) {
         const Shortage *w = &g_array_index(shortages, Shortage, i);
         if (w->none && !mp_is_cached(w->model)) {
