--- a/tests/script_dm.c
+++ b/tests/script_dm.c
@@ -1,16 +1,17 @@
-/* A ledger of demand, with the words of its sources in the script's hand.
-   One event a line:
+/* Drives an aggregate of demand (dm) with scripted updates.  One command a
+   line:
 
-     at MS
-     word SOURCE whole|more    begins a word; rows follow
-     want MODEL[/ADAPTER] WAITING RUNNING [ARRIVED HURRIED REFUSED]
+     at MS                        sets the time
+     update SOURCE whole|delta    begins an update; its rows follow
+     demand MODEL[/ADAPTER] WAITING RUNNING [ARRIVED HURRIED REFUSED]
      use UPSTREAM MODEL[/ADAPTER] RUNNING QUEUED
      began UPSTREAM COUNT
-     end                       takes it; prints "more wait" if so
-     drop SOURCE
-     silent LIFE_MS
-     collect whole|changed     prints the sums, sorted
-     sources                   prints how many there are */
+     end                          applies the update; prints "more waiting" if
+                                  dm_apply returns true
+     remove SOURCE
+     silent LIFE_MS               expires sources without an update
+     collect whole|changed        prints the sums, sorted
+     sources                      prints their number */
 #include "dm.h"
 #include "script.h"
 
@@ -18,8 +19,8 @@
 #include <stdlib.h>
 
 typedef struct {
-    Dm *ledger;
-    DmDemand *update; /* that is being read */
+    Dm *dm;
+    DmDemand *update; /* being read */
     char *source;
     uint64_t now_ms;
 } Script;
@@ -54,8 +55,8 @@
 static void
 apply_update(Script *s)
 {
-    if (dm_apply(s->ledger, s->now_ms, s->source, s->update)) {
-        puts("more wait");
+    if (dm_apply(s->dm, s->now_ms, s->source, s->update)) {
+        puts("more waiting");
     }
     dm_destroy_demand(s->update);
     g_free(s->source);
@@ -75,7 +76,7 @@
         const DmModelDemand *w = d->wants->pdata[i];
         g_ptr_array_add(
             lines,
-            g_strdup_printf("want %s%s%s waiting %u running %u arrived "
+            g_strdup_printf("demand %s%s%s waiting %u running %u arrived "
                             "%u hurried %u refused %u",
                             w->model, w->adapter ? "/" : "",
                             w->adapter ? w->adapter : "", w->waiting,
@@ -109,11 +110,11 @@
     if (strcmp(verb, "at") == 0 && count == 2) {
         s->now_ms = strtoull(words[1], NULL, 10);
     }
-    else if (strcmp(verb, "word") == 0 && count == 3) {
+    else if (strcmp(verb, "update") == 0 && count == 3) {
         s->source = g_strdup(words[1]);
         s->update = dm_create_demand(strcmp(words[2], "whole") == 0);
     }
-    else if (strcmp(verb, "want") == 0 && count >= 4) {
+    else if (strcmp(verb, "demand") == 0 && count >= 4) {
         read_model_demand(s, words, count);
     }
     else if (strcmp(verb, "use") == 0 && count == 5) {
@@ -125,19 +126,19 @@
     else if (strcmp(verb, "end") == 0) {
         apply_update(s);
     }
-    else if (strcmp(verb, "drop") == 0 && count == 2) {
-        dm_remove_source(s->ledger, words[1]);
+    else if (strcmp(verb, "remove") == 0 && count == 2) {
+        dm_remove_source(s->dm, words[1]);
     }
     else if (strcmp(verb, "silent") == 0 && count == 2) {
-        dm_expire_sources(s->ledger, s->now_ms, get_number(words, count, 1));
+        dm_expire_sources(s->dm, s->now_ms, get_number(words, count, 1));
     }
     else if (strcmp(verb, "collect") == 0 && count == 2) {
-        DmDemand *d = dm_collect(s->ledger, strcmp(words[1], "whole") == 0);
+        DmDemand *d = dm_collect(s->dm, strcmp(words[1], "whole") == 0);
         print_sums(d);
         dm_destroy_demand(d);
     }
     else if (strcmp(verb, "sources") == 0) {
-        printf("%u sources\n", dm_count_sources(s->ledger));
+        printf("%u sources\n", dm_count_sources(s->dm));
     }
     else {
         return false;
@@ -148,8 +149,8 @@
 int
 main(void)
 {
-    Script s = {.ledger = dm_create()};
+    Script s = {.dm = dm_create()};
     int status = script_run(run_line, &s);
-    dm_destroy(s.ledger);
+    dm_destroy(s.dm);
     return status;
 }
