--- a/tests/bench_mp.c
+++ b/tests/bench_mp.c
@@ -1,5 +1,6 @@
-/* Bench of the placement core alone: processor time for a second of a fleet's
-   life, calm and after half of the upstreams have crashed.
+/* Benchmark of the placement core alone: CPU time for a second of simulated
+   time, in steady state and after half of the upstreams have crashed.
+
    bench_mp UPSTREAMS MODELS ADAPTERS GATEWAYS REQUESTS_PER_S */
 #include "mp.h"
 
@@ -31,7 +32,7 @@
 
 typedef struct {
     uint32_t model;
-    int engine; /* -1: waits */
+    int engine; /* -1: waiting */
     uint64_t end_ms;
     uint32_t gateway;
 } Request;
@@ -47,9 +48,9 @@
     uint32_t rate;
     GArray *requests;  /* Request */
     uint32_t *arrived; /* by gateway and model */
-    uint32_t *row_of;  /* by model: its want in what is told, from 1 */
+    uint32_t *row_of;  /* by model: its row in the report, from 1 */
     uint64_t now_ms;
-    uint32_t due; /* thousandths of a request */
+    uint32_t arrivals_due; /* thousandths of a request */
     uint64_t orders;
     BgRandom rng;
     GHashTable *index;
@@ -63,14 +64,14 @@
     return (double)t.tv_sec * 1e3 + (double)t.tv_nsec / 1e6;
 }
 
-static double spent_ms; /* inside the core */
+static double core_cpu_ms;
 static uint64_t events;
 
 #define MEASURE(call)                                                         \
     do {                                                                      \
         double begin_ms = get_cpu_ms();                                       \
         call;                                                                 \
-        spent_ms += get_cpu_ms() - begin_ms;                                  \
+        core_cpu_ms += get_cpu_ms() - begin_ms;                               \
         events++;                                                             \
     } while (0)
 
@@ -127,7 +128,7 @@
 }
 
 static void
-answer(Bench *b, Engine *e)
+answer_requests(Bench *b, Engine *e)
 {
     if (e->coming && b->now_ms >= e->ready_ms) {
         dep_add_resident(e->state, e->coming);
@@ -200,11 +201,11 @@
 }
 
 static void
-arrive(Bench *b)
+step_requests(Bench *b)
 {
-    b->due += b->rate;
-    while (b->due >= 1000) {
-        b->due -= 1000;
+    b->arrivals_due += b->rate;
+    while (b->arrivals_due >= 1000) {
+        b->arrivals_due -= 1000;
         Request r = {.model = pick_model(b),
                      .engine = -1,
                      .gateway =
@@ -227,7 +228,8 @@
     }
 }
 
-/* What GATEWAY has; the ledger before the core is part of what is measured. */
+/* Report the demand of GATEWAY.  Its aggregation before the core is measured
+   as well. */
 static void
 report_gateway(Bench *b, uint32_t gateway)
 {
@@ -273,12 +275,12 @@
 static void
 run(Bench *b, uint64_t for_ms, const char *what)
 {
-    spent_ms = 0;
+    core_cpu_ms = 0;
     events = 0;
     b->orders = 0;
     uint32_t waiting = 0;
     for (uint64_t end = b->now_ms + for_ms; b->now_ms < end; b->now_ms++) {
-        arrive(b);
+        step_requests(b);
         for (uint32_t g = b->now_ms % REPORT_MS; g < b->gateways;
              g += REPORT_MS) {
             report_gateway(b, g);
@@ -287,7 +289,7 @@
             MEASURE(tick(b));
         }
         for (uint32_t i = 0; i < b->engine_count; i++) {
-            answer(b, &b->engines[i]);
+            answer_requests(b, &b->engines[i]);
         }
     }
     for (guint i = 0; i < b->requests->len; i++) {
@@ -295,10 +297,10 @@
     }
     struct rusage u;
     getrusage(RUSAGE_SELF, &u);
-    printf("%-8s %8.1f ms a second, %8.2f us an event (%llu), %llu orders, "
-           "%u wait, %ld MB\n",
-           what, spent_ms * 1000 / (double)MAX(for_ms, 1),
-           spent_ms * 1000 / (double)MAX(events, 1),
+    printf("%-8s %8.1f ms per second, %8.2f us per event (%llu), "
+           "%llu orders, %u waiting, %ld MB\n",
+           what, core_cpu_ms * 1000 / (double)MAX(for_ms, 1),
+           core_cpu_ms * 1000 / (double)MAX(events, 1),
            (unsigned long long)events, (unsigned long long)b->orders, waiting,
            u.ru_maxrss / 1024);
 }
