--- a/src/dm.c
+++ b/src/dm.c
@@ -8,7 +8,7 @@
 /* ---- updates ------------------------------------------------------------ */
 
 static void
-free_want(void *p)
+free_model_demand(void *p)
 {
     DmModelDemand *w = p;
     g_free(w->model);
@@ -38,7 +38,7 @@
 {
     DmDemand *d = g_new0(DmDemand, 1);
     d->whole = whole;
-    d->wants = g_ptr_array_new_with_free_func(free_want);
+    d->wants = g_ptr_array_new_with_free_func(free_model_demand);
     d->uses = g_ptr_array_new_with_free_func(free_use);
     d->began = g_ptr_array_new_with_free_func(free_began);
     return d;
--- a/src/mp.c
+++ b/src/mp.c
@@ -640,10 +640,10 @@
     if (!report || report->busy || u->ordered) {
         return;
     }
-    bool same_life = !report->born_ms || !u->entry->born_ms ||
-                     report->born_ms == u->entry->born_ms;
+    bool same_instance = !report->born_ms || !u->entry->born_ms ||
+                         report->born_ms == u->entry->born_ms;
     /* The report may be from before our last order. */
-    if (same_life && report->sequence >= u->sequence) {
+    if (same_instance && report->sequence >= u->sequence) {
         apply_report(m, u, now_ms, report);
     }
 }
--- a/src/mp.h
+++ b/src/mp.h
@@ -35,7 +35,7 @@
     MP_ORDER_CONFLICT,  /* another is in progress, or the sequence differs */
     MP_ORDER_REFUSED,   /* not carried out: wrong upstream or unknown model */
     MP_ORDER_NOT_SENT,
-    MP_ORDER_UNKNOWN /* no answer: it may still take effect */
+    MP_ORDER_UNKNOWN /* no clear answer: it may still take effect */
 } MpOrderResult;
 
 typedef struct {
--- a/src/mp_int.h
+++ b/src/mp_int.h
@@ -55,7 +55,7 @@
     char *name;
     uint64_t ready_ms; /* usable from then on */
     uint64_t used_ms;  /* last use */
-    bool leaving;      /* being unloaded, after the requests that use it */
+    bool leaving;      /* its unload waits for the requests that use it */
 } Adapter;
 
 typedef struct {
@@ -79,8 +79,8 @@
     uint32_t slow;   /* of these, about to be late */
 } Use;
 
-/* Requests at an upstream.  Kept by id apart from Up, as requests are reported
-   also before its entry is read and after that is gone. */
+/* Requests at an upstream.  Kept by its id apart from Up, as requests are also
+   reported before its entry has been read and after its removal. */
 typedef struct {
     GPtrArray *uses; /* Use */
     uint32_t running;
@@ -99,18 +99,18 @@
     GPtrArray *on_disk;        /* Model: with cached weights on disk */
     bool known;                /* replicas and sequence are up to date */
     bool report_pending;       /* a report was requested */
-    bool busy; /* last report: an order is in progress that we don't know */
-    uint64_t next_report_ms; /* no report is requested before */
-    uint32_t missed_reports; /* requests without an answer, in a row */
-    uint64_t sequence;       /* orders that it accepted */
-    GPtrArray *replicas;     /* Replica */
-    uint64_t busy_until_ms;  /* end of the load in progress */
-    uint64_t retry_ms;       /* no order is sent before */
-    uint64_t changed_ms;     /* last order that was accepted, or may be */
-    uint64_t unloaded_ms;    /* last unload of a model that was accepted */
-    Model *goal;             /* model chosen to be loaded here; NULL: none */
-    uint64_t goal_until_ms;  /* then it is given up */
-    double goal_gain;        /* callers a second, when the goal was set */
+    bool busy;                 /* last report: an order is in progress */
+    uint64_t next_report_ms;   /* no report is requested before */
+    uint32_t missed_reports;   /* requests without an answer, in a row */
+    uint64_t sequence;         /* orders that it accepted */
+    GPtrArray *replicas;       /* Replica */
+    uint64_t busy_until_ms;    /* end of the load in progress */
+    uint64_t retry_ms;         /* no order is sent before */
+    uint64_t changed_ms;       /* last order that was accepted, or may be */
+    uint64_t unloaded_ms;      /* last unload of a model that was accepted */
+    Model *goal;               /* model chosen to be loaded here; NULL: none */
+    uint64_t goal_until_ms;    /* then it is given up */
+    double goal_gain;          /* callers a second, when the goal was set */
     /* The pending order. */
     bool ordered;
     bool order_unload;
@@ -121,7 +121,7 @@
     bool order_from_store;
     /* Other state. */
     bool told;             /* its present content has been published */
-    bool unreached;        /* it did not answer the last call */
+    bool unreached;        /* the last call did not reach it */
     uint64_t suspected_ms; /* last report requested for a broken connection */
     uint64_t verified_ms;  /* last report requested by verify_waited_models */
     UpstreamLoad *load;
@@ -200,7 +200,7 @@
 
 /* mp_publish.c */
 void mp_publish(Mp *m, Up *u, uint64_t now_ms);
-/* A load on U has ended after BEFORE_MS. */
+/* A load on U ended between BEFORE_MS and NOW_MS. */
 bool mp_has_just_become_ready(const Up *u, uint64_t now_ms,
                               uint64_t before_ms);
 
--- a/src/mp_place.c
+++ b/src/mp_place.c
@@ -141,12 +141,12 @@
            mp_get_refused_rate(d, now_ms) * REFUSED_DURATION_S;
 }
 
-/* How many of them are too late with REPLICAS: none up to the capacity of each
-   replica, all from twice that on. */
+/* How many of OFFERED concurrent requests are too late with REPLICAS: none up
+   to the capacity of each replica, all from twice that on. */
 static double
-get_late_load(double asked, uint32_t replicas, double capacity)
+get_late_load(double offered, uint32_t replicas, double capacity)
 {
-    return asked * CLAMP(asked / replicas / capacity - 1, 0, 1);
+    return offered * CLAMP(offered / replicas / capacity - 1, 0, 1);
 }
 
 /* Gain of a further replica of a model that has REPLICAS, at least one. */
@@ -154,9 +154,9 @@
 get_gain(const Model *model, uint64_t now_ms, uint32_t replicas)
 {
     const Demand *d = &model->demand;
-    double asked = get_offered_load(d, now_ms);
-    double gain = get_late_load(asked, replicas, model->capacity) -
-                  get_late_load(asked, replicas + 1, model->capacity);
+    double offered = get_offered_load(d, now_ms);
+    double gain = get_late_load(offered, replicas, model->capacity) -
+                  get_late_load(offered, replicas + 1, model->capacity);
     if (replicas == 1) {
         gain += mp_get_hurried_rate(d, now_ms) * UPSTREAM_LOSS_SHARE;
     }
@@ -186,8 +186,8 @@
     return IDLE_MODEL_LOSS + hurried + tolerant * RELOAD_LATE_SHARE;
 }
 
-/* Mean duration of its requests at an upstream: the number running divided by
-   the arrival rate. */
+/* Mean duration of the requests for a model by Little's law: the number
+   running divided by the arrival rate. */
 static double
 get_duration_s(const Demand *d, uint64_t now_ms)
 {
@@ -276,8 +276,8 @@
     return best;
 }
 
-/* Cost of loading MODEL on U, in callers; negative: it is impossible, or the
-   loss by evictions exceeds the gain. */
+/* Cost of loading MODEL on U, in callers that are too late; negative: it is
+   impossible, or the loss by evictions exceeds the gain. */
 static double
 compute_load_cost(uint64_t now_ms, const Up *u, const Model *model,
                   const DepModel *d, double gain)
@@ -378,7 +378,7 @@
    to it from now on.  It is unloaded after its running requests, as the
    upstream would accept no other order while an unload waits for them. */
 static void
-make_room(Mp *m, uint64_t now_ms, Up *u)
+evict_for_goal(Mp *m, uint64_t now_ms, Up *u)
 {
     Replica *r = find_unloading(u);
     if (!r) {
@@ -422,7 +422,7 @@
         return;
     }
     if (get_free_mb(u) < (int64_t)d->memory_mb) {
-        make_room(m, now_ms, u);
+        evict_for_goal(m, now_ms, u);
         return;
     }
     bool from_store;
