--- a/src/gn_demand.c
+++ b/src/gn_demand.c
@@ -47,7 +47,8 @@
     DmDemand *demand = dm_create_demand(d->whole);
     for (size_t i = 0; i < d->n_wants; i++) {
         const Gwp__Want *x = d->wants[i];
-        DmWant *w = dm_add_want(demand, x->model, to_adapter(x->adapter));
+        DmModelDemand *w =
+            dm_add_model_demand(demand, x->model, to_adapter(x->adapter));
         w->waiting = x->waiting;
         w->running = x->running;
         w->arrived = x->arrived;
@@ -88,7 +89,7 @@
 {
     take_spent(g, bg_boot_ms(), d);
     DmDemand *demand = read_demand(d);
-    bool more = dm_take(g->demand, bg_boot_ms(), from, demand);
+    bool more = dm_apply(g->demand, bg_boot_ms(), from, demand);
     dm_destroy_demand(demand);
     if (more && g->is_leader) {
         gn_schedule_placement(g);
@@ -99,7 +100,7 @@
 void
 gn_update_placement(Gateway *g, uint64_t now_ms)
 {
-    dm_drop_silent(g->demand, now_ms, DEMAND_TIMEOUT_MS);
+    dm_expire_sources(g->demand, now_ms, DEMAND_TIMEOUT_MS);
     DmDemand *total = dm_collect(g->demand, g->full_demand_due);
     g->full_demand_due = false;
     mp_on_demand(g->placement, now_ms, total);
@@ -204,7 +205,7 @@
     l->wants = g_new0(Gwp__Want, wants->len + 1);
     l->want_refs = g_new0(Gwp__Want *, wants->len + 1);
     for (guint i = 0; i < wants->len; i++) {
-        const DmWant *x = wants->pdata[i];
+        const DmModelDemand *x = wants->pdata[i];
         Gwp__Want *w = &l->wants[i];
         gwp__want__init(w);
         w->model = x->model;
@@ -320,7 +321,7 @@
 take_own_demand(Gateway *g, uint64_t now_ms)
 {
     DmDemand *own = gw_collect_demand(g->gw);
-    bool more = dm_take(g->demand, now_ms, gn_get_text(g, "name"), own);
+    bool more = dm_apply(g->demand, now_ms, gn_get_text(g, "name"), own);
     dm_destroy_demand(own);
     return more;
 }
@@ -338,7 +339,7 @@
 {
     uint64_t now_ms = bg_boot_ms();
     g->demand_ms = now_ms;
-    dm_drop_silent(g->demand, now_ms, DEMAND_TIMEOUT_MS);
+    dm_expire_sources(g->demand, now_ms, DEMAND_TIMEOUT_MS);
     bool more = take_own_demand(g, now_ms);
     if (g->is_leader) {
         if (more) {
--- a/src/gn_relay.c
+++ b/src/gn_relay.c
@@ -329,7 +329,7 @@
     if (linked) {
         return;
     }
-    dm_drop(g->demand, lk_get_vm(peer));
+    dm_remove_source(g->demand, lk_get_vm(peer));
     if (p) {
         free_peer_info(p);
         lk_set_user(peer, NULL);
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -301,7 +301,7 @@
         jl_end(l);
         g->full_demand_due = true;
         if (is_leader) {
-            mp_begin(g->placement, now_ms);
+            mp_on_lease_gained(g->placement, now_ms);
         }
         else {
             ut_mark_placement_stale(g->upstreams);
--- a/src/mp_adapter.c
+++ b/src/mp_adapter.c
@@ -2,8 +2,9 @@
 
 #include <string.h>
 
-#define ADAPTER_SETTLE_MS 300
-/* One without a free place is taken after all that have one. */
+#define ADAPTER_MIN_IDLE_MS 300
+/* Added to the cost of an upstream without a free adapter slot, so that any
+   with one is preferred. */
 #define FULL_COST 100
 
 static uint32_t
@@ -17,17 +18,17 @@
 }
 
 static bool
-is_quiet(const Mp *m, uint64_t now_ms, const Up *u, const Replica *r,
-         const Adapter *a)
+is_idle(const Mp *m, uint64_t now_ms, const Up *u, const Replica *r,
+        const Adapter *a)
 {
-    if (a->leaving || now_ms < a->used_ms + ADAPTER_SETTLE_MS) {
+    if (a->leaving || now_ms < a->used_ms + ADAPTER_MIN_IDLE_MS) {
         return false;
     }
     const Demand *d = mp_find_adapter_demand(m, r->model, a->name);
     return !(d && d->waiting > 0) && !mp_is_in_use(u, r->model, a->name);
 }
 
-/* The adapter least recently used that nobody uses now. */
+/* The least recently used of the adapters that are idle; NULL: none is. */
 static Adapter *
 pick_victim(const Mp *m, uint64_t now_ms, const Up *u, Model **model)
 {
@@ -37,7 +38,7 @@
         for (guint j = 0; j < r->adapters->len; j++) {
             Adapter *a = r->adapters->pdata[j];
             if ((!best || a->used_ms < best->used_ms) &&
-                is_quiet(m, now_ms, u, r, a)) {
+                is_idle(m, now_ms, u, r, a)) {
                 best = a;
                 *model = r->model;
             }
@@ -47,14 +48,14 @@
 }
 
 static bool
-is_on_its_way(const Up *u, const WantedAdapter *w)
+is_being_loaded(const Up *u, const AdapterDemand *w)
 {
     return u->ordered && !u->order_unload && u->order_model == w->model &&
            g_strcmp0(u->order_adapter, w->name) == 0;
 }
 
 static bool
-holds_adapter(const Up *u, const WantedAdapter *w)
+holds_adapter(const Up *u, const AdapterDemand *w)
 {
     const Replica *r = mp_find_replica(u, w->model);
     for (guint i = 0; r && i < r->adapters->len; i++) {
@@ -66,13 +67,13 @@
     return false;
 }
 
-/* Held, or ordered, on an upstream that can be used. */
+/* Loaded or being loaded on a usable upstream. */
 static bool
-is_placed(const WantedAdapter *w)
+is_placed(const AdapterDemand *w)
 {
     for (guint i = 0; i < w->model->holders->len; i++) {
         const Up *u = w->model->holders->pdata[i];
-        if (mp_can_use(u) && (holds_adapter(u, w) || is_on_its_way(u, w))) {
+        if (mp_can_use(u) && (holds_adapter(u, w) || is_being_loaded(u, w))) {
             return true;
         }
     }
@@ -80,10 +81,10 @@
 }
 
 static Up *
-find_place(const Mp *m, uint64_t now_ms, const Model *model)
+find_upstream(const Mp *m, uint64_t now_ms, const Model *model)
 {
     Up *best = NULL;
-    uint32_t least = 0;
+    uint32_t min_cost = 0;
     for (guint i = 0; i < model->holders->len; i++) {
         Up *u = model->holders->pdata[i];
         const Replica *r = mp_find_replica(u, model);
@@ -92,25 +93,25 @@
             continue;
         }
         uint32_t cost = count_adapters(u);
-        Model *of;
+        Model *owner;
         if (cost >= u->service->max_adapters) {
-            if (!pick_victim(m, now_ms, u, &of)) {
+            if (!pick_victim(m, now_ms, u, &owner)) {
                 continue;
             }
             cost += FULL_COST;
         }
-        if (!best || cost < least) {
+        if (!best || cost < min_cost) {
             best = u;
-            least = cost;
+            min_cost = cost;
         }
     }
     return best;
 }
 
 static void
-place_adapter(Mp *m, uint64_t now_ms, const WantedAdapter *w)
+place_adapter(Mp *m, uint64_t now_ms, const AdapterDemand *w)
 {
-    Up *u = find_place(m, now_ms, w->model);
+    Up *u = find_upstream(m, now_ms, w->model);
     if (!u) {
         return;
     }
@@ -118,10 +119,10 @@
         mp_send_order(m, now_ms, u, w->model, w->name, false);
         return;
     }
-    Model *of = NULL;
-    const Adapter *a = pick_victim(m, now_ms, u, &of);
+    Model *owner = NULL;
+    const Adapter *a = pick_victim(m, now_ms, u, &owner);
     g_autofree char *name = g_strdup(a->name);
-    mp_send_order(m, now_ms, u, of, name, true);
+    mp_send_order(m, now_ms, u, owner, name, true);
 }
 
 void
@@ -131,7 +132,7 @@
     gpointer v;
     g_hash_table_iter_init(&it, m->adapters);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
-        const WantedAdapter *w = v;
+        const AdapterDemand *w = v;
         if (w->demand.waiting > 0 && !is_placed(w)) {
             place_adapter(m, now_ms, w);
         }
--- a/src/mp_place.c
+++ b/src/mp_place.c
@@ -3,52 +3,57 @@
 #include <math.h>
 #include <string.h>
 
-/* Between looks for a place for a model that found none. */
-#define TRY_PAUSE_MS 80
-#define PREFETCH_MS 200
-/* A replica stays at least this long: until its first uses are told. */
-#define SETTLE_MS 450
-/* A load is taken for done this much after its stated time. */
+/* Gains, losses and rates are in callers a second. */
+
+/* Between attempts for a model for which no upstream was found. */
+#define RETRY_INTERVAL_MS 80
+#define PREFETCH_INTERVAL_MS 200
+/* No replica is evicted before its first uses have been reported. */
+#define MIN_LIFETIME_MS 450
+/* Added to the declared time of a load. */
 #define LOAD_MARGIN_MS 15
-/* A refused request would have been at its upstream for about so long. */
-#define STAY_S 1.5
-/* Bounds of what is observed of stays: few samples, or a stuck upstream. */
-#define LEAST_STAY_S 0.3
-#define MOST_STAY_S 4.
-/* A caller that has time for a load from a disk comes late this often after
-   all, as the load has to wait for room or for others. */
-#define RELOAD_RISK 0.2
-/* Even a model that nobody asked for lately may be asked for. */
-#define UNASKED_LOSS 0.02
-/* Of callers that have no time for a load, the part that would miss a model
-   with one replica as its upstream may be lost. */
-#define LOST_SHARE 0.05
-/* What a replica more must gain beyond what its room costs, in callers a
-   second: or two models would take each other's place in turn. */
-#define LEAST_GAIN 0.3
-#define GAIN_OF_MORE 1. /* to look for a place for a replica more at all */
-/* A load ahead of need: may cost a model that hardly anybody asks for its
-   place, never one that callers wait for. */
+/* Assumed duration of a request that was refused. */
+#define REFUSED_DURATION_S 1.5
+/* Bounds of the observed duration of requests, against few samples and stuck
+   upstreams. */
+#define MIN_DURATION_S 0.3
+#define MAX_DURATION_S 4.
+/* Share of the callers with time for a load from disk that are late all the
+   same, as the load waits for memory or for other loads. */
+#define RELOAD_LATE_SHARE 0.2
+/* Loss of a model without recent requests, which may still be requested. */
+#define IDLE_MODEL_LOSS 0.02
+/* Share of the callers without time for a load that miss a model with a single
+   replica, as its upstream may fail. */
+#define UPSTREAM_LOSS_SHARE 0.05
+/* Required gain of a replica beyond the loss by its evictions, so that two
+   models don't evict each other in turn. */
+#define MIN_NET_GAIN 0.3
+/* Required gain of a replica beyond the first. */
+#define MIN_REPLICA_GAIN 1.
+/* Gain of a prefetch: enough to evict a model with hardly any requests, never
+   one with waiting requests. */
 #define PREFETCH_GAIN 0.5
-/* What a place costs in callers a second, it costs for about so long: the
-   memory of the rates that tell it. */
+/* How long the loss by an eviction is assumed to last: the decay time of the
+   rates that it follows from. */
 #define HORIZON_S 5.
-/* An upstream with as many requests as one replica serves well is as good a
-   place as an idle one so much later. */
-#define CROWD_S 0.3
-/* Nothing is gained by waiting for a copy when so many callers miss it. */
-#define STORE_GAIN 8.
-/* A replica in use makes room for no less: its own callers come later. */
-#define IN_USE_GAIN 16.
-/* An unload of an idle replica takes so long: free room goes before it. */
-#define UNLOAD_S 0.1
-#define IDLE_MS 100 /* after its last use was told */
-#define GOAL_LIFE_MS 4000
-/* Upstreams with a copy are waited for so long before the weight store. */
+/* An upstream with as many running requests as one replica's capacity ranks
+   like an idle one that is ready this much later. */
+#define SPREAD_PENALTY_S 0.3
+/* From this gain on, waiting for an upstream with a local copy does not pay:
+   the model is loaded from the weight store at once. */
+#define STORE_AT_ONCE_GAIN 8.
+/* Required gain for evicting a replica in use, whose own callers are delayed.
+ */
+#define MIN_GAIN_IN_USE 16.
+/* Time of an unload of an idle replica, so that free memory is preferred. */
+#define IDLE_UNLOAD_S 0.1
+#define IDLE_AFTER_MS 100 /* after the last use was reported */
+#define GOAL_TIMEOUT_MS 4000
+/* Wait for an upstream with a local copy before a load from the weight store;
+   if it is unreachable, at least the load time divided by the divisor. */
 #define COPY_WAIT_MS 1500
-/* Those beside an upstream that is away are waited for at least this part of
-   a load from the store. */
-#define AWAY_WAIT_PART 3
+#define UNREACHABLE_WAIT_DIVISOR 3
 
 /* ---- replicas ----------------------------------------------------------- */
 
@@ -58,8 +63,8 @@
     return !u->entry->draining && u->service;
 }
 
-/* What is on one that can't be reached serves nobody: its callers wait for
-   another replica. */
+/* Replicas on unreachable upstreams don't count: their callers wait for
+   another one. */
 static void
 count_replicas_of(const Up *u)
 {
@@ -93,12 +98,12 @@
 static int64_t
 get_free_mb(const Up *u)
 {
-    int64_t free_mb = (int64_t)u->service->memory_mb - u->room_mb;
+    int64_t free_mb = (int64_t)u->service->memory_mb - u->reserved_mb;
     for (guint i = 0; i < u->replicas->len; i++) {
         const Replica *r = u->replicas->pdata[i];
         const DepModel *d = mp_find_declared(u, r->model);
-        /* A model that is no longer declared has an unknown size: nothing
-           more is loaded beside it. */
+        /* The size of a model that is no longer declared is unknown: assume
+           all memory. */
         free_mb -= d ? d->memory_mb : u->service->memory_mb;
     }
     return free_mb;
@@ -122,42 +127,43 @@
 static bool
 is_idle(uint64_t now_ms, const Up *u, const Replica *r)
 {
-    return now_ms >= r->used_ms + IDLE_MS && !mp_is_in_use(u, r->model, NULL);
+    return now_ms >= r->used_ms + IDLE_AFTER_MS &&
+           !mp_is_in_use(u, r->model, NULL);
 }
 
-/* ---- what a replica is worth -------------------------------------------- */
+/* ---- gain and loss of a replica ----------------------------------------- */
 
-/* Requests there would be at once if none were refused. */
+/* Concurrent requests if none were refused. */
 static double
-count_asked(const Demand *d, uint64_t now_ms)
+get_offered_load(const Demand *d, uint64_t now_ms)
 {
-    return d->running + d->waiting + mp_get_refused_rate(d, now_ms) * STAY_S;
+    return d->running + d->waiting +
+           mp_get_refused_rate(d, now_ms) * REFUSED_DURATION_S;
 }
 
-/* Of these, how many come too late with so many replicas: none while each
-   has what it serves well, all with twice that. */
+/* How many of OFFERED concurrent requests are too late with REPLICAS: none up
+   to the capacity of each replica, all from twice that on. */
 static double
-count_late(double asked, uint32_t replicas, double good)
+get_late_load(double offered, uint32_t replicas, double capacity)
 {
-    return asked * CLAMP(asked / replicas / good - 1, 0, 1);
+    return offered * CLAMP(offered / replicas / capacity - 1, 0, 1);
 }
 
-/* Callers a second that a further replica of a model with REPLICAS, at least
-   one, serves in time. */
+/* Gain of a further replica of a model that has REPLICAS, at least one. */
 static double
 get_gain(const Model *model, uint64_t now_ms, uint32_t replicas)
 {
     const Demand *d = &model->demand;
-    double asked = count_asked(d, now_ms);
-    double gain = count_late(asked, replicas, model->good) -
-                  count_late(asked, replicas + 1, model->good);
+    double offered = get_offered_load(d, now_ms);
+    double gain = get_late_load(offered, replicas, model->capacity) -
+                  get_late_load(offered, replicas + 1, model->capacity);
     if (replicas == 1) {
-        gain += mp_get_hurried_rate(d, now_ms) * LOST_SHARE;
+        gain += mp_get_hurried_rate(d, now_ms) * UPSTREAM_LOSS_SHARE;
     }
     return gain;
 }
 
-/* Callers a second that come too late without this replica. */
+/* Callers a second that are too late without this replica. */
 static double
 get_loss(uint64_t now_ms, const Up *u, const Replica *r)
 {
@@ -170,66 +176,66 @@
         return get_gain(r->model, now_ms, replicas - 1);
     }
     double hurried = mp_get_hurried_rate(d, now_ms);
-    double patient = MAX(mp_get_rate(d, now_ms) - hurried, 0);
+    double tolerant = MAX(mp_get_rate(d, now_ms) - hurried, 0);
     if (!mp_has_copy(u, r->model)) {
-        /* It would come back from the weight store, and be loaded ahead of
-           need in its turn: models that have no copy must not push each other
-           out without end. */
-        return MAX(hurried + patient, PREFETCH_GAIN);
+        /* It would have to be reloaded from the weight store, and would be
+           prefetched again: models without a copy must not evict each other
+           endlessly. */
+        return MAX(hurried + tolerant, PREFETCH_GAIN);
     }
-    return UNASKED_LOSS + hurried + patient * RELOAD_RISK;
+    return IDLE_MODEL_LOSS + hurried + tolerant * RELOAD_LATE_SHARE;
 }
 
-/* How long requests for it stay at an upstream: as many are there at once as
-   come in that time. */
+/* Mean duration of the requests for a model by Little's law: the number
+   running divided by the arrival rate. */
 static double
-get_stay_s(const Demand *d, uint64_t now_ms)
+get_duration_s(const Demand *d, uint64_t now_ms)
 {
     double rate = mp_get_rate(d, now_ms);
-    return rate > 0 ? CLAMP(d->running / rate, LEAST_STAY_S, MOST_STAY_S)
-                    : LEAST_STAY_S;
+    return rate > 0 ? CLAMP(d->running / rate, MIN_DURATION_S, MAX_DURATION_S)
+                    : MIN_DURATION_S;
 }
 
-/* What loading something in place of a replica costs: callers a second that
-   come too late, and the time until its last request has ended. */
+/* Cost of loading a model in place of a replica. */
 typedef struct {
-    double loss;
-    double wait_s;
-} Price;
+    double loss;   /* callers a second that are too late without it */
+    double wait_s; /* until its last request has ended and it is unloaded */
+} EvictionCost;
 
-/* One in use makes room only for much: its upstream takes no other order until
-   its last request has ended.  False: it makes none for GAIN. */
+/* False: R can't be evicted for GAIN.  A replica in use is evicted only for
+   a high gain, as its upstream accepts no other order until its last request
+   has ended. */
 static bool
-get_price(uint64_t now_ms, const Up *u, const Replica *r, double gain,
-          Price *out)
+get_eviction_cost(uint64_t now_ms, const Up *u, const Replica *r, double gain,
+                  EvictionCost *out)
 {
     const Demand *d = &r->model->demand;
     bool waited = d->waiting > 0 && r->model->replicas < 2;
-    if (waited || r->unloading || r->ready_ms == WHEN_TOLD ||
-        now_ms < r->ready_ms + SETTLE_MS) {
+    if (waited || r->unloading || r->ready_ms == WHEN_REPORTED ||
+        now_ms < r->ready_ms + MIN_LIFETIME_MS) {
         return false;
     }
     bool idle = is_idle(now_ms, u, r);
-    if (!idle && gain < IN_USE_GAIN) {
+    if (!idle && gain < MIN_GAIN_IN_USE) {
         return false;
     }
     out->loss = get_loss(now_ms, u, r);
-    out->wait_s = UNLOAD_S + (idle ? 0 : get_stay_s(d, now_ms));
-    return out->loss + LEAST_GAIN <= gain;
+    out->wait_s = IDLE_UNLOAD_S + (idle ? 0 : get_duration_s(d, now_ms));
+    return out->loss + MIN_NET_GAIN <= gain;
 }
 
 static double
-weigh(const Price *p, double gain)
+get_total_cost(const EvictionCost *p, double gain)
 {
     return p->loss * HORIZON_S + p->wait_s * gain;
 }
 
-#define MAX_VICTIMS 16 /* for one load; smaller models make no more room */
+#define MAX_VICTIMS 16 /* for one load */
 
 typedef struct {
     Replica *list[MAX_VICTIMS];
     uint32_t count;
-    Price price; /* of all together */
+    EvictionCost cost; /* of all together */
 } Victims;
 
 static bool
@@ -243,40 +249,42 @@
     return false;
 }
 
-/* One more that makes room for a model whose loading gains GAIN, at the least
-   cost; NULL: there is none. */
+/* Add the replica with the lowest cost that may be evicted for GAIN; NULL:
+   there is none. */
 static Replica *
 pick_victim(uint64_t now_ms, const Up *u, double gain, Victims *victims)
 {
     Replica *best = NULL;
-    Price price = {0, 0};
+    EvictionCost cost = {0, 0};
     for (guint i = 0; i < u->replicas->len; i++) {
         Replica *r = u->replicas->pdata[i];
-        Price p;
-        if (!is_victim(victims, r) && get_price(now_ms, u, r, gain, &p) &&
-            (!best || weigh(&p, gain) < weigh(&price, gain))) {
+        EvictionCost c;
+        if (!is_victim(victims, r) &&
+            get_eviction_cost(now_ms, u, r, gain, &c) &&
+            (!best ||
+             get_total_cost(&c, gain) < get_total_cost(&cost, gain))) {
             best = r;
-            price = p;
+            cost = c;
         }
     }
     if (!best || victims->count == MAX_VICTIMS) {
         return NULL;
     }
     victims->list[victims->count++] = best;
-    victims->price.loss += price.loss;
-    victims->price.wait_s = MAX(victims->price.wait_s, price.wait_s);
+    victims->cost.loss += cost.loss;
+    victims->cost.wait_s = MAX(victims->cost.wait_s, cost.wait_s);
     return best;
 }
 
-/* What it costs to load MODEL on U, in caller seconds; below 0: it can't be,
-   or costs others more than it gains. */
+/* Cost of loading MODEL on U, in callers that are too late; negative: it is
+   impossible, or the loss by evictions exceeds the gain. */
 static double
 compute_load_cost(uint64_t now_ms, const Up *u, const Model *model,
                   const DepModel *d, double gain)
 {
     bool from_store;
     double ready_s = mp_get_load_ms(u, d, model, &from_store) / 1000.;
-    if (u->busy_until_ms == WHEN_TOLD) {
+    if (u->busy_until_ms == WHEN_REPORTED) {
         return -1;
     }
     if (u->busy_until_ms > now_ms) {
@@ -292,13 +300,14 @@
         }
         free_mb += rd->memory_mb;
     }
-    const Price *all = &victims.price;
-    if (all->loss > 0 && all->loss + LEAST_GAIN > gain) {
+    const EvictionCost *all = &victims.cost;
+    if (all->loss > 0 && all->loss + MIN_NET_GAIN > gain) {
         return -1;
     }
-    /* Spread: an upstream that serves much already is slower. */
-    double crowd_s = u->load->running / model->good * CROWD_S;
-    return weigh(all, gain) + gain * (ready_s + crowd_s);
+    /* Spread the load: a busy upstream is slower. */
+    double spread_penalty_s =
+        u->load->running / model->capacity * SPREAD_PENALTY_S;
+    return get_total_cost(all, gain) + gain * (ready_s + spread_penalty_s);
 }
 
 /* ---- orders ------------------------------------------------------------- */
@@ -343,7 +352,7 @@
 }
 
 static Replica *
-find_leaving(const Up *u)
+find_unloading(const Up *u)
 {
     for (guint i = 0; i < u->replicas->len; i++) {
         Replica *r = u->replicas->pdata[i];
@@ -358,19 +367,20 @@
 drop_goal(Up *u)
 {
     mp_set_goal(u, NULL);
-    Replica *r = find_leaving(u);
+    Replica *r = find_unloading(u);
     if (r) {
         r->unloading = false;
         u->told = false;
     }
 }
 
-/* Gateways send nothing more to a victim from now on.  It is unloaded when
-   its requests have ended: until then the upstream would take no order. */
+/* Evict a replica to free memory for U's goal.  Gateways send no more requests
+   to it from now on.  It is unloaded after its running requests, as the
+   upstream would accept no other order while an unload waits for them. */
 static void
-make_room(Mp *m, uint64_t now_ms, Up *u)
+evict_for_goal(Mp *m, uint64_t now_ms, Up *u)
 {
-    Replica *r = find_leaving(u);
+    Replica *r = find_unloading(u);
     if (!r) {
         Victims victims = {.count = 0};
         r = pick_victim(now_ms, u, u->goal_gain, &victims);
@@ -386,20 +396,19 @@
     }
 }
 
-/* Closed for one model it is closed for all with less to gain, which come
-   after it in a round. */
+/* Models are tried by descending gain: if one may not start, later ones of the
+   same service may not either. */
 static bool
 may_start_store_load(Mp *m, uint64_t now_ms, const DepService *s, double gain)
 {
-    if (m->store_closed == s) {
+    if (m->store_blocked == s) {
         return false;
     }
     bool open = mp_may_start_store_load(m, now_ms, s, gain);
-    m->store_closed = open ? m->store_closed : s;
+    m->store_blocked = open ? m->store_blocked : s;
     return open;
 }
 
-/* Work on U's goal: make room, then load. */
 void
 mp_pursue_goal(Mp *m, uint64_t now_ms, Up *u)
 {
@@ -413,7 +422,7 @@
         return;
     }
     if (get_free_mb(u) < (int64_t)d->memory_mb) {
-        make_room(m, now_ms, u);
+        evict_for_goal(m, now_ms, u);
         return;
     }
     bool from_store;
@@ -424,41 +433,44 @@
     }
 }
 
-/* ---- places ------------------------------------------------------------- */
+/* ---- choice of an upstream ---------------------------------------------- */
 
+/* Where a new replica of a model could be loaded from a local copy. */
 typedef enum {
     COPY_NONE,
-    COPY_AWAY, /* beside an upstream that does not answer just now */
-    COPY_NEAR  /* beside one that does; it may be busy */
-} Copy;
+    COPY_UNREACHABLE, /* only on upstreams that don't answer at present */
+    COPY_REACHABLE    /* on an upstream that answers; it may be busy */
+} CopyState;
 
-static Copy
-find_copy(const Model *model)
+static CopyState
+get_copy_state(const Model *model)
 {
-    Copy best = COPY_NONE;
+    CopyState best = COPY_NONE;
     for (guint i = 0; i < model->copies->len; i++) {
         const Up *u = model->copies->pdata[i];
         if (mp_can_use(u) && (u->unreached || !mp_find_replica(u, model))) {
-            best = MAX(best, u->unreached ? COPY_AWAY : COPY_NEAR);
+            best = MAX(best, u->unreached ? COPY_UNREACHABLE : COPY_REACHABLE);
         }
     }
     return best;
 }
 
-/* The weight store is slow and shared: it is left for models that callers
-   wait for in vain, that is whose copies beside upstreams can't be used. */
+/* The weight store is slow and shared.  It is used for models without usable
+   local copies, and otherwise only after a wait in vain. */
 static bool
-may_use_store(uint64_t now_ms, const Wanted *w)
+may_use_store(uint64_t now_ms, const Shortage *w)
 {
-    Copy copy = find_copy(w->model);
-    if (copy == COPY_NONE || w->gain >= STORE_GAIN) {
+    CopyState copy = get_copy_state(w->model);
+    if (copy == COPY_NONE || w->gain >= STORE_AT_ONCE_GAIN) {
         return true;
     }
-    /* A process that crashed is back before the store could have served. */
+    /* An upstream that crashed has restarted before a load from the store
+       would end. */
     uint32_t load_ms = w->model->declared ? w->model->declared->load_ms : 0;
-    uint64_t wait_ms = copy == COPY_NEAR
-                           ? COPY_WAIT_MS
-                           : MAX(COPY_WAIT_MS, load_ms / AWAY_WAIT_PART);
+    uint64_t wait_ms =
+        copy == COPY_REACHABLE
+            ? COPY_WAIT_MS
+            : MAX(COPY_WAIT_MS, load_ms / UNREACHABLE_WAIT_DIVISOR);
     return w->none && w->model->demand.waiting > 0 &&
            now_ms > w->since_ms + wait_ms;
 }
@@ -466,10 +478,10 @@
 typedef struct {
     Up *up; /* NULL: none */
     double cost;
-} Place;
+} Candidate;
 
 static void
-weigh_place(uint64_t now_ms, const Wanted *w, Up *u, Place *best)
+consider_upstream(uint64_t now_ms, const Shortage *w, Up *u, Candidate *best)
 {
     const DepModel *d = mp_find_declared(u, w->model);
     if (!d || !mp_can_use(u) || u->goal || !u->known || u->ordered ||
@@ -478,12 +490,13 @@
     }
     double cost = compute_load_cost(now_ms, u, w->model, d, w->gain);
     if (cost >= 0 && (!best->up || cost < best->cost)) {
-        *best = (Place){u, cost};
+        *best = (Candidate){u, cost};
     }
 }
 
 static void
-weigh_store_places(Mp *m, uint64_t now_ms, const Wanted *w, Place *best)
+consider_store_loads(Mp *m, uint64_t now_ms, const Shortage *w,
+                     Candidate *best)
 {
     GHashTableIter it;
     gpointer v;
@@ -492,20 +505,20 @@
         Up *u = v;
         if (u->service && !mp_has_copy(u, w->model) &&
             may_start_store_load(m, now_ms, u->service, w->gain)) {
-            weigh_place(now_ms, w, u, best);
+            consider_upstream(now_ms, w, u, best);
         }
     }
 }
 
 static Up *
-find_best_place(Mp *m, uint64_t now_ms, const Wanted *w)
+find_best_upstream(Mp *m, uint64_t now_ms, const Shortage *w)
 {
-    Place best = {NULL, 0};
+    Candidate best = {NULL, 0};
     for (guint i = 0; i < w->model->copies->len; i++) {
-        weigh_place(now_ms, w, w->model->copies->pdata[i], &best);
+        consider_upstream(now_ms, w, w->model->copies->pdata[i], &best);
     }
     if (may_use_store(now_ms, w)) {
-        weigh_store_places(m, now_ms, w, &best);
+        consider_store_loads(m, now_ms, w, &best);
     }
     return best.up;
 }
@@ -514,38 +527,36 @@
 begin_goal(Mp *m, uint64_t now_ms, Up *u, Model *model, double gain)
 {
     mp_set_goal(u, model);
-    u->goal_until_ms = now_ms + GOAL_LIFE_MS;
+    u->goal_until_ms = now_ms + GOAL_TIMEOUT_MS;
     u->goal_gain = gain;
     model->replicas++;
     mp_pursue_goal(m, now_ms, u);
 }
 
 static gint
-compare_wanted(gconstpointer a, gconstpointer b)
+compare_shortages(gconstpointer a, gconstpointer b)
 {
-    const Wanted *x = a;
-    const Wanted *y = b;
+    const Shortage *x = a;
+    const Shortage *y = b;
     if (x->gain != y->gain) {
         return x->gain > y->gain ? -1 : 1;
     }
     return x->since_ms < y->since_ms ? -1 : x->since_ms > y->since_ms;
 }
 
-/* Callers a second that miss a model that nobody holds.  Also those that are
-   refused at once count, or a model that many ask for would be loaded after
-   each that a single patient caller waits for. */
+/* Callers a second that a model without a replica can't serve.  The rate
+   includes callers that are refused at once; otherwise a popular model would
+   be loaded after any model for which a single tolerant caller waits. */
 static double
-get_missing(const Demand *d, uint64_t now_ms)
+get_unserved_rate(const Demand *d, uint64_t now_ms)
 {
     return d->waiting + mp_get_rate(d, now_ms);
 }
 
-/* Models that lack replicas, those with most to gain first; ALL: also those
-   for which a place was looked for just now. */
 GArray *
-mp_list_wanted(const Mp *m, uint64_t now_ms, bool all)
+mp_list_shortages(const Mp *m, uint64_t now_ms, bool all)
 {
-    GArray *out = g_array_new(FALSE, FALSE, sizeof(Wanted));
+    GArray *out = g_array_new(FALSE, FALSE, sizeof(Shortage));
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->models);
@@ -556,37 +567,37 @@
             continue;
         }
         uint32_t have = model->replicas;
-        Wanted w = {.model = model,
-                    .since_ms =
-                        d->wanted_since_ms ? d->wanted_since_ms : now_ms,
-                    .none = have == 0};
-        w.gain =
-            w.none ? get_missing(d, now_ms) : get_gain(model, now_ms, have);
-        if (w.gain > (w.none ? UNASKED_LOSS : GAIN_OF_MORE)) {
+        Shortage w = {.model = model,
+                      .since_ms =
+                          d->waiting_since_ms ? d->waiting_since_ms : now_ms,
+                      .none = have == 0};
+        w.gain = w.none ? get_unserved_rate(d, now_ms)
+                        : get_gain(model, now_ms, have);
+        if (w.gain > (w.none ? IDLE_MODEL_LOSS : MIN_REPLICA_GAIN)) {
             g_array_append_val(out, w);
         }
     }
-    g_array_sort(out, compare_wanted);
+    g_array_sort(out, compare_shortages);
     return out;
 }
 
 void
 mp_place_models(Mp *m, uint64_t now_ms)
 {
-    g_autoptr(GArray) wanted = mp_list_wanted(m, now_ms, false);
-    for (guint i = 0; i < wanted->len; i++) {
-        const Wanted *w = &g_array_index(wanted, Wanted, i);
-        Up *u = find_best_place(m, now_ms, w);
+    g_autoptr(GArray) shortages = mp_list_shortages(m, now_ms, false);
+    for (guint i = 0; i < shortages->len; i++) {
+        const Shortage *w = &g_array_index(shortages, Shortage, i);
+        Up *u = find_best_upstream(m, now_ms, w);
         if (u) {
             begin_goal(m, now_ms, u, w->model, w->gain);
         }
         else {
-            w->model->demand.next_try_ms = now_ms + TRY_PAUSE_MS;
+            w->model->demand.next_try_ms = now_ms + RETRY_INTERVAL_MS;
         }
     }
 }
 
-/* ---- ahead of need ------------------------------------------------------ */
+/* ---- prefetching -------------------------------------------------------- */
 
 static bool
 has_usable(const GPtrArray *ups)
@@ -600,23 +611,23 @@
 }
 
 bool
-mp_is_copied(const Model *model)
+mp_is_cached(const Model *model)
 {
     return has_usable(model->holders) || has_usable(model->copies) ||
            has_usable(model->goals);
 }
 
-/* A declared model that no upstream has a copy of, even where another that
-   has its copy beside it must make room: its first callers then wait for a
-   disk, not for the weight store. */
+/* Load a declared model of which no upstream has a copy, even if an idle model
+   with a local copy must be evicted: its first callers then wait for a load
+   from disk, not from the weight store. */
 static void
 prefetch_one(Mp *m, uint64_t now_ms, const DepService *s)
 {
-    /* Callers' loads go before: what is begun ahead of need holds the store
-       for as long as they would wait. */
+    /* Loads on demand take precedence: a prefetch occupies the store for as
+       long as they would have to wait. */
     bool scarce = m->asked && m->store.at_once <= 1;
-    uint32_t most = m->asked ? m->store.at_once / 2 : m->store.at_once;
-    if (scarce || mp_count_store_loads(m) >= most ||
+    uint32_t max_loads = m->asked ? m->store.at_once / 2 : m->store.at_once;
+    if (scarce || mp_count_store_loads(m) >= max_loads ||
         !mp_may_start_store_load(m, now_ms, s, 0)) {
         return;
     }
@@ -625,11 +636,12 @@
     g_hash_table_iter_init(&it, s->models);
     while (g_hash_table_iter_next(&it, &k, NULL)) {
         Model *model = mp_get_model(m, k);
-        if (mp_is_copied(model)) {
+        if (mp_is_cached(model)) {
             continue;
         }
-        Wanted w = {.model = model, .gain = PREFETCH_GAIN, .since_ms = now_ms};
-        Up *u = find_best_place(m, now_ms, &w);
+        Shortage w = {
+            .model = model, .gain = PREFETCH_GAIN, .since_ms = now_ms};
+        Up *u = find_best_upstream(m, now_ms, &w);
         if (u) {
             begin_goal(m, now_ms, u, model, w.gain);
             return;
@@ -643,7 +655,7 @@
     if (!m->params.prefetch || now_ms < m->next_prefetch_ms) {
         return;
     }
-    m->next_prefetch_ms = now_ms + PREFETCH_MS;
+    m->next_prefetch_ms = now_ms + PREFETCH_INTERVAL_MS;
     GHashTableIter it;
     gpointer v;
     g_hash_table_iter_init(&it, m->config->services);
--- a/tests/script_dm.c
+++ b/tests/script_dm.c
@@ -1,16 +1,17 @@
-/* A ledger of demand, with the words of its sources in the script's hand.
-   One event a line:
+/* Drives an aggregate of demand (dm) with scripted updates.  One command a
+   line:
 
-     at MS
-     word SOURCE whole|more    begins a word; rows follow
-     want MODEL[/ADAPTER] WAITING RUNNING [ARRIVED HURRIED REFUSED]
+     at MS                        sets the time
+     update SOURCE whole|delta    begins an update; its rows follow
+     demand MODEL[/ADAPTER] WAITING RUNNING [ARRIVED HURRIED REFUSED]
      use UPSTREAM MODEL[/ADAPTER] RUNNING QUEUED
      began UPSTREAM COUNT
-     end                       takes it; prints "more wait" if so
-     drop SOURCE
-     silent LIFE_MS
-     collect whole|changed     prints the sums, sorted
-     sources                   prints how many there are */
+     end                          applies the update; prints "more waiting" if
+                                  dm_apply returns true
+     remove SOURCE
+     silent LIFE_MS               expires sources without an update
+     collect whole|changed        prints the sums, sorted
+     sources                      prints their number */
 #include "dm.h"
 #include "script.h"
 
@@ -18,8 +19,8 @@
 #include <stdlib.h>
 
 typedef struct {
-    Dm *ledger;
-    DmDemand *word; /* that is being read */
+    Dm *dm;
+    DmDemand *update; /* being read */
     char *source;
     uint64_t now_ms;
 } Script;
@@ -31,10 +32,10 @@
 }
 
 static void
-read_want(const Script *s, char **words, int count)
+read_model_demand(const Script *s, char **words, int count)
 {
     g_auto(GStrv) names = g_strsplit(words[1], "/", 2);
-    DmWant *w = dm_add_want(s->word, names[0], names[1]);
+    DmModelDemand *w = dm_add_model_demand(s->update, names[0], names[1]);
     w->waiting = get_number(words, count, 2);
     w->running = get_number(words, count, 3);
     w->arrived = get_number(words, count, 4);
@@ -46,18 +47,18 @@
 read_use(const Script *s, char **words, int count)
 {
     g_auto(GStrv) names = g_strsplit(words[2], "/", 2);
-    DmUse *u = dm_add_use(s->word, words[1], names[0], names[1]);
+    DmUse *u = dm_add_use(s->update, words[1], names[0], names[1]);
     u->running = get_number(words, count, 3);
     u->queued = get_number(words, count, 4);
 }
 
 static void
-take_word(Script *s)
+apply_update(Script *s)
 {
-    if (dm_take(s->ledger, s->now_ms, s->source, s->word)) {
-        puts("more wait");
+    if (dm_apply(s->dm, s->now_ms, s->source, s->update)) {
+        puts("more waiting");
     }
-    dm_destroy_demand(s->word);
+    dm_destroy_demand(s->update);
     g_free(s->source);
 }
 
@@ -72,10 +73,10 @@
 {
     g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
     for (guint i = 0; i < d->wants->len; i++) {
-        const DmWant *w = d->wants->pdata[i];
+        const DmModelDemand *w = d->wants->pdata[i];
         g_ptr_array_add(
             lines,
-            g_strdup_printf("want %s%s%s waiting %u running %u arrived "
+            g_strdup_printf("demand %s%s%s waiting %u running %u arrived "
                             "%u hurried %u refused %u",
                             w->model, w->adapter ? "/" : "",
                             w->adapter ? w->adapter : "", w->waiting,
@@ -109,35 +110,35 @@
     if (strcmp(verb, "at") == 0 && count == 2) {
         s->now_ms = strtoull(words[1], NULL, 10);
     }
-    else if (strcmp(verb, "word") == 0 && count == 3) {
+    else if (strcmp(verb, "update") == 0 && count == 3) {
         s->source = g_strdup(words[1]);
-        s->word = dm_create_demand(strcmp(words[2], "whole") == 0);
+        s->update = dm_create_demand(strcmp(words[2], "whole") == 0);
     }
-    else if (strcmp(verb, "want") == 0 && count >= 4) {
-        read_want(s, words, count);
+    else if (strcmp(verb, "demand") == 0 && count >= 4) {
+        read_model_demand(s, words, count);
     }
     else if (strcmp(verb, "use") == 0 && count == 5) {
         read_use(s, words, count);
     }
     else if (strcmp(verb, "began") == 0 && count == 3) {
-        dm_add_began(s->word, words[1], get_number(words, count, 2));
+        dm_add_began(s->update, words[1], get_number(words, count, 2));
     }
     else if (strcmp(verb, "end") == 0) {
-        take_word(s);
+        apply_update(s);
     }
-    else if (strcmp(verb, "drop") == 0 && count == 2) {
-        dm_drop(s->ledger, words[1]);
+    else if (strcmp(verb, "remove") == 0 && count == 2) {
+        dm_remove_source(s->dm, words[1]);
     }
     else if (strcmp(verb, "silent") == 0 && count == 2) {
-        dm_drop_silent(s->ledger, s->now_ms, get_number(words, count, 1));
+        dm_expire_sources(s->dm, s->now_ms, get_number(words, count, 1));
     }
     else if (strcmp(verb, "collect") == 0 && count == 2) {
-        DmDemand *d = dm_collect(s->ledger, strcmp(words[1], "whole") == 0);
+        DmDemand *d = dm_collect(s->dm, strcmp(words[1], "whole") == 0);
         print_sums(d);
         dm_destroy_demand(d);
     }
     else if (strcmp(verb, "sources") == 0) {
-        printf("%u sources\n", dm_count_sources(s->ledger));
+        printf("%u sources\n", dm_count_sources(s->dm));
     }
     else {
         return false;
@@ -148,8 +149,8 @@
 int
 main(void)
 {
-    Script s = {.ledger = dm_create()};
+    Script s = {.dm = dm_create()};
     int status = script_run(run_line, &s);
-    dm_destroy(s.ledger);
+    dm_destroy(s.dm);
     return status;
 }
