--- a/src/cli.h
+++ b/src/cli.h
@@ -1,14 +1,15 @@
-/* cli: parts of the operators' client.
-
-   cli_log     the log as a command sees it: a fold up to now, one record
-               written and its fate
-   cli_diff    line differences between two texts
-   cli_config  publish, revise, rollback, show, history, diff
-   cli_process status, dump, drain: what processes say over HTTP
-   cli_lines   structured logs of several VMs, in order
-   cli_explain one request's story from them
-   cli_losses  where answers came late or not at all, from them
-   cli_timeline what happened when, in rows of two seconds, from them */
+/* cli: the commands of bglade, the operators' client.  main_client parses the
+   arguments and calls one of them; its return value is the exit code.
+
+   cli_log      a session with the log: reads its state, writes one record and
+                finds out whether it was accepted
+   cli_config   check, publish, revise, rollback, show, history, diff
+   cli_diff     line differences between two texts
+   cli_process  status, dump, drain: HTTP requests to processes
+   cli_lines    reads the structured logs of several VMs, sorted by time
+   cli_explain  traces one request through these logs
+   cli_losses   counts late and failed requests in them, by reason
+   cli_timeline counts events in them, in rows of two seconds */
 #ifndef CLI_H
 #define CLI_H
 
@@ -25,7 +26,7 @@
     CLI_FAILED = 1,   /* could not be done; nothing changed */
     CLI_INVALID = 2,  /* a file or an argument is wrong */
     CLI_CONFLICT = 3, /* another operator was first; nothing changed */
-    CLI_UNKNOWN = 4   /* may have taken effect, or may yet; ask again */
+    CLI_UNKNOWN = 4   /* may have taken effect or may yet; check first */
 };
 
 typedef struct {
@@ -36,28 +37,29 @@
     const char *key_file;
     uint64_t base;
     bool has_base;
-    uint64_t to; /* a version */
+    uint64_t to; /* version */
     bool has_to;
     uint32_t wait_s;
-    uint32_t settle_s; /* for the fate of a record */
+    uint32_t settle_s; /* timeout for a record to appear in the log */
     bool has_wait;
     bool json;
-    int word_count; /* with the command itself */
-    char **words;
+    int word_count; /* including the command itself */
+    char **words;   /* positional arguments */
 } CliArguments;
 
 /* ---- cli_lines ---------------------------------------------------------- */
 
 typedef struct {
-    int64_t t_ms;   /* wall time of the VM that wrote it */
-    guint order;    /* as read: lines of one file stay in order */
-    json_t *fields; /* an object with an "event" */
+    int64_t t_ms;     /* wall time of the VM that wrote it */
+    guint read_index; /* position in the input; breaks ties of t_ms */
+    json_t *fields;   /* an object with an "event" */
 } CliLine;
 
-/* CliLine of all PATHS by time; NULL when one can't be read, which standard
-   error tells. */
+/* Reads all PATHS and returns their lines (CliLine) sorted by time.  NULL,
+   with a message on standard error, when a file can't be read.  Lines without
+   an event are skipped. */
 GPtrArray *cli_read_lines(char **paths, int count);
-/* "" when there is none. */
+/* Returns "" when the field is missing or no string. */
 const char *cli_get_text(const json_t *fields, const char *name);
 
 /* ---- cli_log ------------------------------------------------------------ */
@@ -66,26 +68,28 @@
     LogApi *api;
     Fold *fold;
     uint32_t settle_ms;
-    const char *batch_id; /* ours, once written */
-    bool seen;            /* ... and read back */
+    const char *batch_id; /* of the batch being written, else NULL */
+    bool seen;            /* that batch was read back from the log */
     FoldResult result;
     uint64_t offset;
     GString *why;
-    uint32_t trims; /* looks that retention overtook */
+    uint32_t trimmed_reads; /* reads whose start was trimmed meanwhile */
 } CliSession;
 
-/* Read the log up to its end, from its newest checkpoint if need be; the
-   fault goes to standard error.  Close it in either case. */
+/* Reads the log up to its end.  If its start was trimmed, the state comes from
+   the newest checkpoint in it.  Errors are printed to standard error.  The
+   caller closes the session also after a failure. */
 bool cli_open(CliSession *s, const CliArguments *a);
 void cli_close(CliSession *s);
-/* Write RECORD and learn from the log itself what became of it: an exit
-   code; s->offset and s->why tell more. */
+/* Appends RECORD and reads the log until the record appears or settle_ms have
+   passed.  Returns an exit code; s->offset is the record's offset, s->why the
+   reason why it was not accepted. */
 int cli_write(CliSession *s, Bg__Record *record);
 
 /* ---- cli_diff ----------------------------------------------------------- */
 
-/* Lines taken away ("-") and added ("+"), with "@@ N" before each run of
-   them; empty when the texts are equal.  Free with g_free. */
+/* Removed ("-") and added ("+") lines, with "@@ LINE" before each run of them;
+   empty when the texts are equal.  Free with g_free. */
 char *cli_diff(const char *old_text, const char *new_text);
 
 /* ---- commands: exit codes ----------------------------------------------- */
@@ -103,7 +107,7 @@
 int cli_losses(const CliArguments *a);
 int cli_timeline(const CliArguments *a);
 
-/* Print DOC on one line and free it. */
+/* Prints DOC on one line and frees it. */
 void cli_print_json(json_t *doc);
 
 #endif
--- a/src/cli_config.c
+++ b/src/cli_config.c
@@ -1,3 +1,5 @@
+/* Commands on templates: check, publish, revise, rollback, show, history and
+   diff. */
 #include "cli.h"
 
 #include "cfg.h"
@@ -114,7 +116,7 @@
     return g_strdup(text);
 }
 
-/* Template and values of a version as one text, for differences. */
+/* Template and values of a version as one text, to be compared. */
 static char *
 join_texts(const FoldConfig *c)
 {
@@ -167,10 +169,11 @@
 
 /* ---- writing a version -------------------------------------------------- */
 
-/* What happened since BASE, so that the operator can take it in. */
+/* Prints and returns the versions after BASE as diffs, for the operator to
+   merge. */
 static json_t *
-tell_conflict(const CliArguments *a, const Fold *fold, const char *name,
-              uint64_t base)
+report_conflict(const CliArguments *a, const Fold *fold, const char *name,
+                uint64_t base)
 {
     json_t *list = json_array();
     const GPtrArray *h = fold_get_history(fold, name);
@@ -191,15 +194,15 @@
         before = c;
     }
     if (!a->json && before) {
-        printf("Nothing was changed; your files are as they were. Take the "
-               "changes above in and revise with --base %llu.\n",
+        printf("Nothing was changed, your files included. Merge the changes "
+               "above into them and revise with --base %llu.\n",
                (unsigned long long)before->version);
     }
     return list;
 }
 
 static const char *
-tell_outcome(int code)
+get_outcome_name(int code)
 {
     static const char *const words[] = {"accepted", "not accepted", "invalid",
                                         "conflict", "not known"};
@@ -207,11 +210,11 @@
 }
 
 static void
-tell_result(const CliArguments *a, const CliSession *s, const char *name,
-            uint64_t base, int code)
+report_result(const CliArguments *a, const CliSession *s, const char *name,
+              uint64_t base, int code)
 {
     json_t *doc = json_pack("{s:s, s:s, s:i}", "name", name, "outcome",
-                            tell_outcome(code), "exit", code);
+                            get_outcome_name(code), "exit", code);
     const char *why = s->why->len ? s->why->str : "the log cannot be written";
     if (code == CLI_GOOD) {
         json_object_set_new(doc, "version", make_number(s->offset));
@@ -233,7 +236,7 @@
     }
     if (code == CLI_CONFLICT) {
         json_object_set_new(doc, "changes",
-                            tell_conflict(a, s->fold, name, base));
+                            report_conflict(a, s->fold, name, base));
     }
     if (a->json) {
         cli_print_json(doc);
@@ -260,7 +263,7 @@
     r.body_case = BG__RECORD__BODY_CONFIG;
     r.config = &c;
     int code = cli_write(s, &r);
-    tell_result(a, s, f->name, base, code);
+    report_result(a, s, f->name, base, code);
     return code;
 }
 
@@ -296,13 +299,14 @@
 
 /* ---- reading ------------------------------------------------------------ */
 
-/* The template that the command names; NULL after saying what is wrong. */
+/* The template named by the first argument; NULL after an error message. */
 static const FoldConfig *
-find_named(const CliArguments *a, const CliSession *s)
+require_template(const CliArguments *a, const CliSession *s)
 {
     const FoldConfig *c = NULL;
     if (a->word_count < 2) {
-        fprintf(stderr, "bglade: %s needs a template's name\n", a->words[0]);
+        fprintf(stderr, "bglade: %s needs the name of a template\n",
+                a->words[0]);
     }
     else if (!(c = fold_find_template(s->fold, a->words[1]))) {
         fprintf(stderr, "bglade: no template '%s'\n", a->words[1]);
@@ -311,7 +315,7 @@
 }
 
 static const FoldConfig *
-find_kept(const CliSession *s, const char *name, uint64_t version)
+require_version(const CliSession *s, const char *name, uint64_t version)
 {
     const FoldConfig *c = find_version(s->fold, name, version);
     if (!c) {
@@ -334,8 +338,8 @@
     }
     if (cli_open(&s, a)) {
         code = CLI_INVALID;
-        now = find_named(a, &s);
-        old = now ? find_kept(&s, a->words[1], a->to) : NULL;
+        now = require_template(a, &s);
+        old = now ? require_version(&s, a->words[1], a->to) : NULL;
     }
     if (old) {
         Files f = {g_strdup(a->words[1]), g_strdup(old->template_text),
@@ -363,11 +367,11 @@
 }
 
 static void
-print_template(const char *name, const FoldConfig *c, bool whole)
+print_template(const char *name, const FoldConfig *c, bool with_text)
 {
     printf("%s  version %llu  workspaces %u\n", name,
            (unsigned long long)c->version, g_strv_length(c->values_text));
-    if (whole) {
+    if (with_text) {
         g_autofree char *text = join_texts(c);
         puts(text);
     }
@@ -397,9 +401,9 @@
 static int
 show_one(const CliArguments *a, const CliSession *s)
 {
-    const FoldConfig *c = find_named(a, s);
+    const FoldConfig *c = require_template(a, s);
     if (c && a->has_to) {
-        c = find_kept(s, a->words[1], a->to);
+        c = require_version(s, a->words[1], a->to);
     }
     if (!c) {
         return CLI_INVALID;
@@ -459,7 +463,7 @@
     int code = CLI_FAILED;
     if (cli_open(&s, a)) {
         code = CLI_INVALID;
-        if (find_named(a, &s)) {
+        if (require_template(a, &s)) {
             list_history(a, &s);
             code = CLI_GOOD;
         }
@@ -470,20 +474,22 @@
 
 /* diff NAME: the last change; diff NAME FROM [TO]: between two versions. */
 static int
-compare_named(const CliArguments *a, const CliSession *s)
+compare_versions(const CliArguments *a, const CliSession *s)
 {
     const char *name = a->words[1];
-    const FoldConfig *now = find_named(a, s);
+    const FoldConfig *now = require_template(a, s);
     if (!now) {
         return CLI_INVALID;
     }
     const GPtrArray *h = fold_get_history(s->fold, name);
     const FoldConfig *old = h->len > 1 ? h->pdata[h->len - 2] : NULL;
     if (a->word_count > 2) {
-        old = find_kept(s, name, g_ascii_strtoull(a->words[2], NULL, 10));
+        old =
+            require_version(s, name, g_ascii_strtoull(a->words[2], NULL, 10));
     }
     if (a->word_count > 3) {
-        now = find_kept(s, name, g_ascii_strtoull(a->words[3], NULL, 10));
+        now =
+            require_version(s, name, g_ascii_strtoull(a->words[3], NULL, 10));
     }
     if (!now || (a->word_count > 2 && !old)) {
         return CLI_INVALID;
@@ -504,7 +510,7 @@
 cli_compare(const CliArguments *a)
 {
     CliSession s;
-    int code = cli_open(&s, a) ? compare_named(a, &s) : CLI_FAILED;
+    int code = cli_open(&s, a) ? compare_versions(a, &s) : CLI_FAILED;
     cli_close(&s);
     return code;
 }
--- a/src/cli_diff.c
+++ b/src/cli_diff.c
@@ -1,9 +1,11 @@
+/* Line differences between two texts. */
 #include "cli.h"
 
 #include <string.h>
 
-/* Longest common subsequence by a table; above this many cells the middle
-   is shown as replaced whole. */
+/* The table of the longest common subsequence has at most so many cells
+   (64 MB).  For larger texts all lines between the common start and the common
+   end are shown as replaced. */
 #define MAX_CELLS (16u * 1024 * 1024)
 
 typedef struct {
@@ -11,9 +13,9 @@
     char **now;
     guint old_len;
     guint now_len;
-    guint head; /* equal lines at the start */
+    guint head; /* count of equal lines at the start */
     GString *out;
-    guint shown; /* line of the old text after the last one printed */
+    guint shown; /* index of the old line that follows the last output */
 } Diff;
 
 static void
@@ -37,7 +39,8 @@
     }
 }
 
-/* Row-major table of the lengths of common tails. */
+/* Cell (i, j), row-major: length of the longest common subsequence of the old
+   lines from i and the new lines from j, both counted from head. */
 static uint32_t *
 make_table(const Diff *d, guint rows, guint cols)
 {
--- a/src/cli_explain.c
+++ b/src/cli_explain.c
@@ -1,22 +1,22 @@
-/* bglade explain: the story of one request from the logs of several VMs. */
+/* bglade explain: traces one request through the logs of several VMs. */
 #include "cli.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-/* What the request's own lines name, and when. */
+/* What the request's own lines name, and the time that they span. */
 typedef struct {
     const char *id;
     const char *model; /* or "" */
-    GHashTable *nodes; /* set of VMs that had it */
+    GHashTable *nodes; /* set of VMs that handled it */
     GHashTable *upstreams;
     int64_t from_ms;
     int64_t to_ms;
-} Story;
+} Trace;
 
 static void
-note_own_line(Story *s, const CliLine *e)
+add_own_line(Trace *s, const CliLine *e)
 {
     s->from_ms = s->from_ms ? MIN(s->from_ms, e->t_ms) : e->t_ms;
     s->to_ms = MAX(s->to_ms, e->t_ms);
@@ -31,10 +31,11 @@
     }
 }
 
-/* Lines of the same time that may have decided it: orders for its model, and
-   what befell its upstreams and its VMs. */
+/* Lines within the time of the request that may explain its result: orders for
+   its model, and events of its upstreams and VMs.  Regular reports of
+   upstreams are left out. */
 static bool
-is_context(const Story *s, const CliLine *e)
+is_context(const Trace *s, const CliLine *e)
 {
     const char *event = cli_get_text(e->fields, "event");
     if (e->t_ms < s->from_ms || e->t_ms > s->to_ms ||
@@ -54,15 +55,15 @@
 }
 
 static GPtrArray *
-select_story(const GPtrArray *all, const char *id)
+select_trace(const GPtrArray *all, const char *id)
 {
-    Story s = {.id = id, .model = ""};
+    Trace s = {.id = id, .model = ""};
     s.nodes = g_hash_table_new(g_str_hash, g_str_equal);
     s.upstreams = g_hash_table_new(g_str_hash, g_str_equal);
     for (guint i = 0; i < all->len; i++) {
         const CliLine *e = all->pdata[i];
         if (strcmp(cli_get_text(e->fields, "id"), id) == 0) {
-            note_own_line(&s, e);
+            add_own_line(&s, e);
         }
     }
     GPtrArray *out = g_ptr_array_new();
@@ -79,11 +80,11 @@
 }
 
 static void
-print_for_people(const GPtrArray *story)
+print_text(const GPtrArray *trace)
 {
-    int64_t first_ms = ((CliLine *)story->pdata[0])->t_ms;
-    for (guint i = 0; i < story->len; i++) {
-        const CliLine *e = story->pdata[i];
+    int64_t first_ms = ((CliLine *)trace->pdata[0])->t_ms;
+    for (guint i = 0; i < trace->len; i++) {
+        const CliLine *e = trace->pdata[i];
         printf("%7lld ms  %s  %s", (long long)(e->t_ms - first_ms),
                cli_get_text(e->fields, "node"),
                cli_get_text(e->fields, "event"));
@@ -108,11 +109,11 @@
 }
 
 static void
-print_json(const GPtrArray *story)
+print_json(const GPtrArray *trace)
 {
     json_t *list = json_array();
-    for (guint i = 0; i < story->len; i++) {
-        json_array_append(list, ((CliLine *)story->pdata[i])->fields);
+    for (guint i = 0; i < trace->len; i++) {
+        json_array_append(list, ((CliLine *)trace->pdata[i])->fields);
     }
     char *text = json_dumps(list, JSON_INDENT(1));
     puts(text);
@@ -124,23 +125,25 @@
 cli_explain(const CliArguments *a)
 {
     if (a->word_count < 3) {
-        fprintf(stderr, "bglade: explain ID FILE...\n");
+        fprintf(stderr,
+                "bglade: explain needs a request ID and at least one file\n");
         return CLI_INVALID;
     }
     g_autoptr(GPtrArray) all = cli_read_lines(a->words + 2, a->word_count - 2);
     if (!all) {
         return CLI_INVALID;
     }
-    g_autoptr(GPtrArray) story = select_story(all, a->words[1]);
-    if (story->len == 0) {
-        fprintf(stderr, "bglade: no line about %s\n", a->words[1]);
+    g_autoptr(GPtrArray) trace = select_trace(all, a->words[1]);
+    if (trace->len == 0) {
+        fprintf(stderr, "bglade: no log line has the request ID %s\n",
+                a->words[1]);
         return CLI_FAILED;
     }
     if (a->json) {
-        print_json(story);
+        print_json(trace);
     }
     else {
-        print_for_people(story);
+        print_text(trace);
     }
     return CLI_GOOD;
 }
--- a/src/cli_lines.c
+++ b/src/cli_lines.c
@@ -1,3 +1,4 @@
+/* Reads structured logs, one JSON object a line. */
 #include "cli.h"
 
 #include <stdio.h>
@@ -19,9 +20,10 @@
     return text ? text : "";
 }
 
-/* A collector may have put something before the object. */
+/* Log collectors may put a prefix before the object; lines without an object
+   that has an event are skipped. */
 static void
-take_line(GPtrArray *all, const char *text)
+add_line(GPtrArray *all, const char *text)
 {
     const char *object = strchr(text, '{');
     json_t *fields = object ? json_loads(object, 0, NULL) : NULL;
@@ -31,7 +33,7 @@
     }
     CliLine *l = g_new0(CliLine, 1);
     l->t_ms = json_integer_value(json_object_get(fields, "t_ms"));
-    l->order = all->len;
+    l->read_index = all->len;
     l->fields = fields;
     g_ptr_array_add(all, l);
 }
@@ -47,7 +49,7 @@
     char *text = NULL;
     size_t size = 0;
     while (getline(&text, &size, f) >= 0) {
-        take_line(all, text);
+        add_line(all, text);
     }
     free(text);
     fclose(f);
@@ -62,7 +64,7 @@
     if (x->t_ms != y->t_ms) {
         return x->t_ms < y->t_ms ? -1 : 1;
     }
-    return x->order < y->order ? -1 : x->order > y->order;
+    return x->read_index < y->read_index ? -1 : x->read_index > y->read_index;
 }
 
 GPtrArray *
--- a/src/cli_log.c
+++ b/src/cli_log.c
@@ -1,3 +1,4 @@
+/* A session of a command with the log. */
 #include "cli.h"
 
 #include "ckpt.h"
@@ -8,8 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define READ_WAIT_MS 200
-#define MAX_TRIMS 10
+#define READ_WAIT_MS 200 /* how long a read waits for new entries */
+#define MAX_TRIMMED_READS 10
 #define RETRY_MS 100
 
 static void
@@ -50,11 +51,12 @@
     return true;
 }
 
-/* Look through what the log keeps, from FIRST on, for a checkpoint. */
+/* Restores the fold from the newest checkpoint in the log, which begins at
+   FIRST. */
 static bool
-take_checkpoint(CliSession *s, uint64_t first, GError **err)
+restore_checkpoint(CliSession *s, uint64_t first, GError **err)
 {
-    CkptCollector *found = ckpt_create_collector();
+    CkptCollector *collector = ckpt_create_collector();
     bool good = true;
     uint64_t next = first + 1;
     for (uint64_t from = first; good && from < next;) {
@@ -62,22 +64,22 @@
         good = s->api->read(s->api, from, READ_WAIT_MS, &page, err);
         for (guint i = 0; good && i < page.entries->len; i++) {
             const LogEntry *e = &g_array_index(page.entries, LogEntry, i);
-            ckpt_collect(found, e->data, e->len);
+            ckpt_collect(collector, e->data, e->len);
             from = e->offset + 1;
         }
         next = good && page.entries->len ? page.next : from;
         lc_clear_page(&page);
     }
     uint64_t covered;
-    const GByteArray *state = ckpt_get_newest(found, &covered);
+    const GByteArray *state = ckpt_get_newest(collector, &covered);
     if (good && (!state || covered + 1 < first)) {
         g_set_error(err, BG_ERROR, BG_ERR_TRIMMED,
-                    "it begins at %llu and holds no checkpoint",
+                    "it begins at offset %llu and holds no usable checkpoint",
                     (unsigned long long)first);
         good = false;
     }
     good = good && fold_restore(s->fold, state->data, state->len, err);
-    ckpt_destroy_collector(found);
+    ckpt_destroy_collector(collector);
     return good;
 }
 
@@ -86,29 +88,29 @@
 {
     LogPage page = {0};
     uint64_t from = fold_get_offset(s->fold) + 1;
-    g_autoptr(GError) away = NULL;
-    g_autoptr(GError) trimmed = NULL;
-    bool good = s->api->read(s->api, from, READ_WAIT_MS, &page, &away);
+    g_autoptr(GError) read_err = NULL;
+    g_autoptr(GError) ckpt_err = NULL;
+    bool good = s->api->read(s->api, from, READ_WAIT_MS, &page, &read_err);
     *more = true;
     if (good) {
         good = apply_page(s, &page, err);
         *more = fold_get_offset(s->fold) + 1 < page.next;
     }
-    else if (away->code == BG_ERR_TRIMMED) {
-        good = take_checkpoint(s, page.first, &trimmed);
-        /* Retention may move on while the checkpoint is looked for: the
-           next look begins at the new start. */
-        if (!good && trimmed->code == BG_ERR_TRIMMED &&
-            ++s->trims < MAX_TRIMS) {
+    else if (read_err->code == BG_ERR_TRIMMED) {
+        good = restore_checkpoint(s, page.first, &ckpt_err);
+        /* Retention may trim the log further during the search; the next read
+           starts over at the new beginning. */
+        if (!good && ckpt_err->code == BG_ERR_TRIMMED &&
+            ++s->trimmed_reads < MAX_TRIMMED_READS) {
             bg_sleep_ms(RETRY_MS);
             good = true;
         }
         else if (!good) {
-            g_propagate_error(err, g_steal_pointer(&trimmed));
+            g_propagate_error(err, g_steal_pointer(&ckpt_err));
         }
     }
     else {
-        g_propagate_error(err, g_steal_pointer(&away));
+        g_propagate_error(err, g_steal_pointer(&read_err));
     }
     lc_clear_page(&page);
     return good;
@@ -131,7 +133,7 @@
 {
     memset(s, 0, sizeof(*s));
     if (!a->log_address || !ini_check_address(a->log_address)) {
-        fprintf(stderr, "bglade: --log IP:PORT is missing or wrong\n");
+        fprintf(stderr, "bglade: --log IP:PORT is missing or invalid\n");
         return false;
     }
     s->settle_ms = a->settle_s * 1000;
@@ -157,8 +159,8 @@
     }
 }
 
-/* The same batch goes out again while its acknowledgement is missing: the
-   fold takes one of them. */
+/* Appends the same batch again until one append is acknowledged; the fold
+   applies only the first copy. */
 int
 cli_write(CliSession *s, Bg__Record *record)
 {
@@ -167,16 +169,17 @@
     s->batch_id = id;
     size_t len;
     g_autofree uint8_t *data = rec_encode_batch(id, &record, 1, &len);
-    bool maybe = false;
+    bool may_be_written = false;
     bool acked = false;
     uint64_t until_ms = bg_now_ms() + s->settle_ms;
     while (!s->seen && bg_now_ms() < until_ms) {
         g_autoptr(GError) err = NULL;
         uint64_t offset;
         acked = acked || s->api->append(s->api, data, len, &offset, &err);
-        maybe = maybe || acked || err->code == BG_ERR_UNKNOWN;
+        may_be_written =
+            may_be_written || acked || err->code == BG_ERR_UNKNOWN;
         g_autoptr(GError) read_err = NULL;
-        if (maybe) {
+        if (may_be_written) {
             read_all(s, &read_err);
         }
         if (!s->seen) {
@@ -189,5 +192,5 @@
                : s->result == FOLD_LOST ? CLI_CONFLICT
                                         : CLI_INVALID;
     }
-    return maybe ? CLI_UNKNOWN : CLI_FAILED;
+    return may_be_written ? CLI_UNKNOWN : CLI_FAILED;
 }
--- a/src/cli_losses.c
+++ b/src/cli_losses.c
@@ -1,6 +1,7 @@
-/* bglade losses: where answers came late or not at all, from the logs of all
-   gateways: by route and by workspace the reason, by upstream the pauses, by
-   model the waits for its load, and the times in which nothing was loaded. */
+/* bglade losses: counts late and failed requests in the logs of all gateways:
+   the reasons by route and by workspace, streams that paused too long by
+   upstream, waits and refusals by model, and periods without any order while
+   requests waited for a model. */
 #include "cli.h"
 
 #include "hist.h"
@@ -9,8 +10,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TOP 8            /* upstreams and models that are shown */
-#define NO_ORDER_MS 2000 /* a span without an order that is worth a line */
+#define MAX_PRINTED 8         /* upstreams and models that are printed */
+#define MIN_ORDER_GAP_MS 2000 /* shorter periods are not printed */
 
 /* Requests of a route or of a workspace. */
 typedef struct {
@@ -19,18 +20,18 @@
 } Group;
 
 typedef struct {
-    Hist *wait_us; /* from the start of a wait for it to the send */
+    Hist *wait_us; /* from the start of a wait for the model to the send */
     uint32_t refused;
 } Model;
 
 typedef struct {
     GHashTable *routes;     /* name -> Group */
-    GHashTable *workspaces; /* the same */
+    GHashTable *workspaces; /* name -> Group */
     GHashTable *models;     /* name -> Model */
     GHashTable *pauses;     /* upstream -> count of late streams */
     GHashTable *waiting;    /* request id -> CliLine of its wait for a model */
-    int64_t order_ms;       /* of the last load or unload taken; 0: none */
-    bool missed;            /* callers waited for a model since */
+    int64_t order_ms;       /* of the last accepted order; 0: none */
+    bool model_awaited;     /* a request waited for a model since order_ms */
 } Losses;
 
 static void
@@ -81,7 +82,7 @@
 }
 
 static char *
-describe_end(const json_t *f)
+describe_result(const json_t *f)
 {
     const char *outcome = cli_get_text(f, "outcome");
     const char *late = cli_get_text(f, "late");
@@ -97,14 +98,14 @@
 }
 
 static void
-take_end(Losses *l, const json_t *f)
+count_result(Losses *l, const json_t *f)
 {
     const char *route = cli_get_text(f, "route");
     if (!*route) {
         return;
     }
     const char *workspace = cli_get_text(f, "workspace");
-    g_autofree char *reason = describe_end(f);
+    g_autofree char *reason = describe_result(f);
     add_request(l->routes, route, reason);
     if (*workspace) {
         add_request(l->workspaces, workspace, reason);
@@ -119,18 +120,18 @@
 }
 
 static void
-take_wait(Losses *l, const CliLine *line)
+begin_wait(Losses *l, const CliLine *line)
 {
     if (strcmp(cli_get_text(line->fields, "for"), "model") == 0) {
         g_hash_table_replace(l->waiting,
                              (void *)cli_get_text(line->fields, "id"),
                              (void *)line);
-        l->missed = true;
+        l->model_awaited = true;
     }
 }
 
 static void
-take_send(Losses *l, const CliLine *line)
+end_wait(Losses *l, const CliLine *line)
 {
     const char *id = cli_get_text(line->fields, "id");
     const CliLine *wait = g_hash_table_lookup(l->waiting, id);
@@ -141,38 +142,38 @@
     }
 }
 
-/* Orders go on all the time where models are missed: a span without any tells
-   that nobody could place. */
+/* While requests wait for models the leader sends orders all the time.  A long
+   period without one means that no VM could place models. */
 static void
-take_order(Losses *l, const CliLine *line)
+count_order(Losses *l, const CliLine *line)
 {
     if (json_integer_value(json_object_get(line->fields, "status")) != 202) {
         return;
     }
-    int64_t span_ms = l->order_ms ? line->t_ms - l->order_ms : 0;
-    if (l->missed && span_ms >= NO_ORDER_MS) {
-        printf("no order for %lld ms until %lld\n", (long long)span_ms,
+    int64_t gap_ms = l->order_ms ? line->t_ms - l->order_ms : 0;
+    if (l->model_awaited && gap_ms >= MIN_ORDER_GAP_MS) {
+        printf("no order for %lld ms until %lld\n", (long long)gap_ms,
                (long long)line->t_ms);
     }
     l->order_ms = line->t_ms;
-    l->missed = false;
+    l->model_awaited = false;
 }
 
 static void
-take_line(Losses *l, const CliLine *line)
+count_line(Losses *l, const CliLine *line)
 {
     const char *event = cli_get_text(line->fields, "event");
     if (strcmp(event, "request-end") == 0) {
-        take_end(l, line->fields);
+        count_result(l, line->fields);
     }
     else if (strcmp(event, "request-waits") == 0) {
-        take_wait(l, line);
+        begin_wait(l, line);
     }
     else if (strcmp(event, "request-sent") == 0) {
-        take_send(l, line);
+        end_wait(l, line);
     }
     else if (strcmp(event, "order-end") == 0) {
-        take_order(l, line);
+        count_order(l, line);
     }
 }
 
@@ -209,11 +210,11 @@
 }
 
 static void
-print_counts(GHashTable *counts, guint most, const char *indent)
+print_counts(GHashTable *counts, guint max, const char *indent)
 {
     g_autoptr(GPtrArray) names = list_names(counts);
     g_ptr_array_sort_with_data(names, compare_counts, counts);
-    for (guint i = 0; i < names->len && i < most; i++) {
+    for (guint i = 0; i < names->len && i < max; i++) {
         printf("%s%7u  %s\n", indent,
                GPOINTER_TO_UINT(g_hash_table_lookup(counts, names->pdata[i])),
                (const char *)names->pdata[i]);
@@ -236,7 +237,7 @@
     g_autoptr(GPtrArray) names = list_names(l->models);
     g_ptr_array_sort_with_data(names, compare_models, l->models);
     puts("models, by callers that waited for them or were refused");
-    for (guint i = 0; i < names->len && i < TOP; i++) {
+    for (guint i = 0; i < names->len && i < MAX_PRINTED; i++) {
         const Model *m = g_hash_table_lookup(l->models, names->pdata[i]);
         printf("  %s: %llu waited, median %llu ms, 95 in 100 %llu ms; %u "
                "refused\n",
@@ -266,7 +267,7 @@
     print_groups(l->routes, "route");
     print_groups(l->workspaces, "workspace");
     puts("upstreams, by streams that paused too long there");
-    print_counts(l->pauses, TOP, "  ");
+    print_counts(l->pauses, MAX_PRINTED, "  ");
     print_models(l);
 }
 
@@ -274,7 +275,7 @@
 cli_losses(const CliArguments *a)
 {
     if (a->word_count < 2) {
-        fprintf(stderr, "bglade: losses FILE...\n");
+        fprintf(stderr, "bglade: losses needs at least one file\n");
         return CLI_INVALID;
     }
     g_autoptr(GPtrArray) all = cli_read_lines(a->words + 1, a->word_count - 1);
@@ -290,7 +291,7 @@
         0,
         false};
     for (guint i = 0; i < all->len; i++) {
-        take_line(&l, all->pdata[i]);
+        count_line(&l, all->pdata[i]);
     }
     print_losses(&l);
     g_hash_table_destroy(l.routes);
--- a/src/cli_process.c
+++ b/src/cli_process.c
@@ -1,3 +1,4 @@
+/* Commands that ask a process over HTTP: status, dump and drain. */
 #include "cli.h"
 
 #include "hc.h"
@@ -7,13 +8,14 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CALL_MS 5000
+#define CALL_TIMEOUT_MS 5000
 #define POLL_MS 200
-/* The first answer sets a process asking the others; by the second it has
-   heard from them. */
-#define SETTLE_MS 1500
+/* A request for its status makes a process fetch that of the others, so the
+   first answer may be incomplete.  status polls for at least this long. */
+#define MIN_POLLING_MS 1500
 
-/* One call of PATH at ADDRESS; RES is to be freed. */
+/* Prints an error and returns false unless the answer is 200.  The caller
+   frees RES in any case. */
 static bool
 call_process(const char *address, const char *method, const char *path,
              const char *key, HcResult *res)
@@ -24,8 +26,8 @@
     HcRequest req = {.method = method,
                      .url = url,
                      .headers = headers,
-                     .connect_ms = CALL_MS,
-                     .total_ms = CALL_MS};
+                     .connect_ms = CALL_TIMEOUT_MS,
+                     .total_ms = CALL_TIMEOUT_MS};
     HcClient *http = hc_create();
     hc_call(http, &req, res);
     hc_destroy(http);
@@ -40,13 +42,13 @@
     return res->end == HC_DONE && res->status == 200;
 }
 
-/* The process's address, the command's one argument; NULL after saying what
-   is wrong. */
+/* The only argument of the command, an address; NULL after an error message.
+ */
 static const char *
 get_address(const CliArguments *a)
 {
     if (a->word_count != 2 || !ini_check_address(a->words[1])) {
-        fprintf(stderr, "bglade: %s needs IP:PORT of a process\n",
+        fprintf(stderr, "bglade: %s needs the IP:PORT of a process\n",
                 a->words[0]);
         return NULL;
     }
@@ -112,9 +114,9 @@
     return json_integer_value(json_object_get(doc, key));
 }
 
-/* VERSION is in force at every VM that the answer lists. */
+/* Whether VERSION is in force at every process that the answer lists. */
 static bool
-is_everywhere(const json_t *doc, json_int_t version)
+is_in_force_everywhere(const json_t *doc, json_int_t version)
 {
     size_t i;
     json_t *n;
@@ -161,10 +163,10 @@
     }
 }
 
-/* The version to wait for: --to, else what the log holds, else the newest
-   that a process has. */
+/* The version to wait for: --to, else the newest that the log or a process
+   has. */
 static json_int_t
-find_wanted(const CliArguments *a, const json_t *doc)
+find_wanted_version(const CliArguments *a, const json_t *doc)
 {
     json_int_t wanted = find_newest(doc);
     if (a->has_to) {
@@ -184,16 +186,18 @@
 cli_status(const CliArguments *a)
 {
     if (!a->at || !ini_check_address(a->at)) {
-        fprintf(stderr, "bglade: status needs --at IP:PORT of a process\n");
+        fprintf(
+            stderr,
+            "bglade: status needs --at IP:PORT, the address of a process\n");
         return CLI_INVALID;
     }
     uint64_t start_ms = bg_now_ms();
-    uint64_t until_ms = start_ms + MAX(a->wait_s * 1000ull, SETTLE_MS);
+    uint64_t until_ms = start_ms + MAX(a->wait_s * 1000ull, MIN_POLLING_MS);
     json_t *doc = fetch_status(a->at);
-    json_int_t wanted = doc ? find_wanted(a, doc) : 0;
-    while (
-        doc && bg_now_ms() < until_ms &&
-        (bg_now_ms() - start_ms < SETTLE_MS || !is_everywhere(doc, wanted))) {
+    json_int_t wanted = doc ? find_wanted_version(a, doc) : 0;
+    while (doc && bg_now_ms() < until_ms &&
+           (bg_now_ms() - start_ms < MIN_POLLING_MS ||
+            !is_in_force_everywhere(doc, wanted))) {
         bg_sleep_ms(POLL_MS);
         json_decref(doc);
         doc = fetch_status(a->at);
@@ -201,7 +205,7 @@
     if (!doc) {
         return CLI_FAILED;
     }
-    bool everywhere = is_everywhere(doc, wanted);
+    bool everywhere = is_in_force_everywhere(doc, wanted);
     json_object_set_new(doc, "wanted_version", json_integer(wanted));
     json_object_set_new(doc, "in_force_everywhere", json_boolean(everywhere));
     if (a->json) {
--- a/src/cli_timeline.c
+++ b/src/cli_timeline.c
@@ -1,33 +1,35 @@
-/* bglade timeline: a day of a fleet in rows of two seconds, from the logs of
-   all gateways: who placed, what became of requests and orders, links, and
-   processes that were late themselves. */
+/* bglade timeline: counts the events in the logs of all gateways in rows of
+   two seconds: results of requests and orders, links, late event loops, and
+   VMs that became leader. */
 #include "cli.h"
 
 #include <stdio.h>
 #include <string.h>
 
 #define ROW_MS 2000
+/* The field "end" of an order-end event: MP_ORDER_NOT_SENT. */
+#define END_NOT_SENT 4
 
 typedef enum {
     COL_IN_TIME,
     COL_LATE,
     COL_REFUSED,
     COL_FAILED,
-    COL_GONE,
+    COL_LEFT,
     COL_WAITS,
     COL_SENDS,
     COL_BROKEN,
-    COL_NOT_RUN,
+    COL_NOTRUN,
     COL_TAKEN,
     COL_CONFLICT,
     COL_UNSENT,
-    COL_UNANSWERED,
+    COL_NOANS,
     COL_ASKED,
     COL_AWAY,
     COL_LINKED,
     COL_UNLINKED,
-    COL_LATE_LOOPS,
-    COL_STORE,
+    COL_LATELOOP,
+    COL_NOSTORE,
     COLUMNS
 } Column;
 
@@ -39,24 +41,24 @@
 typedef struct {
     int64_t begin_ms;
     uint32_t counts[COLUMNS];
-    GPtrArray *placers; /* char *, borrowed: who began to place */
+    GPtrArray *leaders; /* char *, borrowed: VMs that became leader */
 } Row;
 
-/* An event that counts in one column, whatever it says. */
+/* Events that count in one column whatever their fields say. */
 typedef struct {
     const char *event;
     Column column;
-} Simple;
+} EventColumn;
 
-static const Simple simple[] = {
+static const EventColumn event_columns[] = {
     {"request-waits", COL_WAITS},   {"request-sent", COL_SENDS},
-    {"request-broken", COL_BROKEN}, {"request-not-run", COL_NOT_RUN},
+    {"request-broken", COL_BROKEN}, {"request-not-run", COL_NOTRUN},
     {"upstream-report", COL_ASKED}, {"upstream-away", COL_AWAY},
     {"placer-linked", COL_LINKED},  {"placer-lost", COL_UNLINKED},
-    {"loop-late", COL_LATE_LOOPS},  {"store-lost", COL_STORE}};
+    {"loop-late", COL_LATELOOP},    {"store-lost", COL_NOSTORE}};
 
 static Column
-classify_end(const json_t *f)
+classify_request(const json_t *f)
 {
     const char *outcome = cli_get_text(f, "outcome");
     if (strcmp(outcome, "answered") == 0) {
@@ -65,7 +67,7 @@
     if (strcmp(outcome, "refused") == 0 || strcmp(outcome, "limited") == 0) {
         return COL_REFUSED;
     }
-    return strcmp(outcome, "caller-gone") == 0 ? COL_GONE : COL_FAILED;
+    return strcmp(outcome, "caller-gone") == 0 ? COL_LEFT : COL_FAILED;
 }
 
 static Column
@@ -76,30 +78,30 @@
     case 202:
         return COL_TAKEN;
     case 0:
-        /* Neither sent nor answered: MpOrderEnd tells which. */
-        return json_integer_value(json_object_get(f, "end")) == 4
+        return json_integer_value(json_object_get(f, "end")) == END_NOT_SENT
                    ? COL_UNSENT
-                   : COL_UNANSWERED;
+                   : COL_NOANS;
     default:
         return COL_CONFLICT;
     }
 }
 
 static void
-take_line(Row *row, const CliLine *line)
+count_line(Row *row, const CliLine *line)
 {
     const char *event = cli_get_text(line->fields, "event");
-    for (size_t i = 0; i < G_N_ELEMENTS(simple); i++) {
-        row->counts[simple[i].column] += strcmp(event, simple[i].event) == 0;
+    for (size_t i = 0; i < G_N_ELEMENTS(event_columns); i++) {
+        row->counts[event_columns[i].column] +=
+            strcmp(event, event_columns[i].event) == 0;
     }
     if (strcmp(event, "request-end") == 0) {
-        row->counts[classify_end(line->fields)]++;
+        row->counts[classify_request(line->fields)]++;
     }
     else if (strcmp(event, "order-end") == 0) {
         row->counts[classify_order(line->fields)]++;
     }
     else if (strcmp(event, "lease-held") == 0) {
-        g_ptr_array_add(row->placers,
+        g_ptr_array_add(row->leaders,
                         (void *)cli_get_text(line->fields, "node"));
     }
 }
@@ -111,14 +113,14 @@
     for (int i = 0; i < COLUMNS; i++) {
         printf(" %*u", (int)strlen(titles[i]), row->counts[i]);
     }
-    for (guint i = 0; i < row->placers->len; i++) {
-        printf(" %s", (const char *)row->placers->pdata[i]);
+    for (guint i = 0; i < row->leaders->len; i++) {
+        printf(" %s", (const char *)row->leaders->pdata[i]);
     }
     putchar('\n');
 }
 
 static void
-print_head(void)
+print_titles(void)
 {
     printf("%7s", "seconds");
     for (int i = 0; i < COLUMNS; i++) {
@@ -132,32 +134,32 @@
 {
     row->begin_ms = begin_ms;
     memset(row->counts, 0, sizeof(row->counts));
-    g_ptr_array_set_size(row->placers, 0);
+    g_ptr_array_set_size(row->leaders, 0);
 }
 
 int
 cli_timeline(const CliArguments *a)
 {
     if (a->word_count < 2) {
-        fprintf(stderr, "bglade: timeline FILE...\n");
+        fprintf(stderr, "bglade: timeline needs at least one file\n");
         return CLI_INVALID;
     }
     g_autoptr(GPtrArray) all = cli_read_lines(a->words + 1, a->word_count - 1);
     if (!all) {
         return CLI_INVALID;
     }
-    g_autoptr(GPtrArray) placers = g_ptr_array_new();
-    Row row = {.placers = placers};
+    g_autoptr(GPtrArray) leaders = g_ptr_array_new();
+    Row row = {.leaders = leaders};
     int64_t first_ms = all->len ? ((CliLine *)all->pdata[0])->t_ms : 0;
     begin_row(&row, first_ms);
-    print_head();
+    print_titles();
     for (guint i = 0; i < all->len; i++) {
         const CliLine *line = all->pdata[i];
         while (line->t_ms >= row.begin_ms + ROW_MS) {
             print_row(&row, first_ms);
             begin_row(&row, row.begin_ms + ROW_MS);
         }
-        take_line(&row, line);
+        count_line(&row, line);
     }
     print_row(&row, first_ms);
     return CLI_GOOD;
--- a/src/main_client.c
+++ b/src/main_client.c
@@ -1,4 +1,5 @@
-/* bglade: the operators' client. */
+/* bglade: the operators' client.  Parses the command line and runs one of
+   the commands of cli.h. */
 #include "cli.h"
 #include "hc.h"
 
@@ -19,83 +20,85 @@
 
 static const Command commands[] = {
     {"check", cli_check, "check TEMPLATE VALUES...",
-     "Checks a template file and its workspaces' values files in full and\n"
-     "lists every fault. Changes nothing and needs no log.\n"
-     "Exit: 0 good, 2 faults."},
+     "Checks a template file and the values files of its workspaces and\n"
+     "lists every error. Changes nothing and needs no log.\n"
+     "Exit: 0 valid, 2 errors."},
     {"publish", cli_publish, "--log IP:PORT publish TEMPLATE VALUES...",
-     "Accepts a new template, whole or not at all.\n"
-     "Exit: 0 accepted; 1 surely not; 2 faults; 3 the name exists (what was\n"
-     "done to it is shown); 4 not known: the record was sent, was not seen\n"
-     "in the log, and may take effect yet."},
+     "Publishes a new template. It is accepted in full or not at all.\n"
+     "Exit: 0 accepted; 1 not accepted; 2 errors in the files; 3 the name\n"
+     "exists (its versions are shown); 4 not known: the record was sent but\n"
+     "was not seen in the log, and may take effect yet."},
     {"revise", cli_revise,
      "--log IP:PORT --base VERSION revise TEMPLATE VALUES...",
-     "Accepts a new version that builds on VERSION. If another operator was\n"
-     "first, nothing is changed and what they did since VERSION is shown,\n"
-     "version by version, as differences.\n"
-     "Exit: as publish; 3 when VERSION is not current."},
+     "Publishes a new version based on VERSION. If another operator has\n"
+     "published one since, nothing is changed, and each version after\n"
+     "VERSION is shown as a diff.\n"
+     "Exit: as publish; 3 VERSION is not the current one."},
     {"rollback", cli_rollback, "--log IP:PORT --to VERSION rollback NAME",
-     "Accepts the text of an older version as a new version on top of the\n"
-     "current one (or of --base). 'history' lists the versions kept.\n"
+     "Publishes the text of an older version as a new version based on the\n"
+     "current one (or on --base). 'history' lists the versions kept.\n"
      "Exit: as revise."},
     {"show", cli_show, "--log IP:PORT [--to VERSION] show [NAME]",
-     "Lists what is accepted; with NAME, the text of its current version\n"
-     "or of --to.\nExit: 0, 1 the log cannot be read, 2 no such name."},
+     "Lists the accepted templates; with NAME, prints the text of its\n"
+     "current version or of --to.\n"
+     "Exit: 0; 1 the log cannot be read; 2 no such name."},
     {"history", cli_history, "--log IP:PORT history NAME",
      "Lists the kept versions, oldest first, with time, author and note.\n"
      "Exit: as show."},
     {"diff", cli_compare, "--log IP:PORT diff NAME [FROM [TO]]",
-     "Lines that differ between two versions; without FROM, the last\n"
-     "change.\nExit: as show."},
+     "Prints the lines that differ between two versions; without FROM,\n"
+     "between the last two.\nExit: as show."},
     {"status", cli_status, "[--log IP:PORT] --at IP:PORT [--wait S] status",
-     "Which version is in force at which VM of which data centre, and how\n"
-     "long ago that was heard. Any process can be asked. With --wait it\n"
-     "goes on for S seconds until the newest version (of the log, or --to)\n"
-     "is in force everywhere.\n"
+     "Lists the version in force at each process of each data centre, and\n"
+     "the age of that information. Any process can answer. With --wait it\n"
+     "polls for up to S seconds until the newest version (of the log, or\n"
+     "--to) is in force everywhere.\n"
      "Exit: 0; 1 no answer, or not in force everywhere after --wait."},
     {"dump", cli_dump, "dump IP:PORT",
-     "The state of one process as JSON, with a digest of the log's state\n"
-     "that is comparable between processes at one offset.\n"
+     "Prints the state of one process as JSON, with a digest of the state\n"
+     "that it derived from the log. Processes at the same offset have the\n"
+     "same digest.\n"
      "Exit: 0, 1 no answer."},
     {"drain", cli_drain, "--key-file FILE drain IP:PORT",
-     "Asks one process for a graceful stop, as SIGTERM does. FILE holds the\n"
+     "Stops one process gracefully, as SIGTERM does. FILE holds the\n"
      "operators' key whose digest is [node] operator_key_sha256.\n"
      "Exit: 0 it stops, 1 no answer or refused."},
     {"explain", cli_explain, "[--json] explain ID FILE...",
-     "The story of one request from the structured logs of several VMs, in\n"
-     "order, with what befell its model, upstreams and VMs meanwhile.\n"
-     "Exit: 0, 1 no line about it, 2 a file can't be read."},
+     "Traces one request through the structured logs of several VMs, with\n"
+     "the events of its model, upstreams and VMs during that time.\n"
+     "Exit: 0, 1 no log line of it, 2 a file can't be read."},
     {"losses", cli_losses, "losses FILE...",
-     "Where answers came late or not at all, from the structured logs of all\n"
-     "gateways: by route the reasons, the upstreams whose streams paused too\n"
-     "long, the waits for models, and spans in which nothing was loaded.\n"
+     "Counts late and failed requests in the structured logs of all\n"
+     "gateways: the reasons by route and by workspace, upstreams whose\n"
+     "streams paused too long, waits for models to load, and periods without\n"
+     "any order while requests waited for a model.\n"
      "Exit: 0, 2 a file can't be read."},
     {"timeline", cli_timeline, "timeline FILE...",
-     "A day in rows of two seconds, from the structured logs of all "
-     "gateways:\n"
-     "requests in time, late, refused, failed and left by their callers; "
-     "waits,\n"
-     "sends, calls broken off and not run; orders taken, in conflict, unsent\n"
-     "and unanswered; upstreams asked and found away; links made and lost;\n"
-     "loops that were late, losses of the store, and who began to place.\n"
+     "Counts the events in the structured logs of all gateways, in rows of\n"
+     "two seconds: requests in time, late, refused, failed and left by their\n"
+     "callers; requests that wait, are sent, broken off and not run; orders\n"
+     "taken, in conflict, unsent and unanswered; status polls of upstreams\n"
+     "and upstreams found unreachable; links to the leader made and lost;\n"
+     "late event loops, losses of the store, and VMs that became leader.\n"
      "Exit: 0, 2 a file can't be read."},
-    {"help", run_help, "help COMMAND", "What a command does."}};
+    {"help", run_help, "help COMMAND", "Describes a command."}};
 
 static const char doc[] =
     "Operate bitternglade.\n\n"
     "check TEMPLATE VALUES...    check files, change nothing\n"
-    "publish TEMPLATE VALUES...  accept a new template\n"
-    "revise TEMPLATE VALUES...   accept a new version, on --base VERSION\n"
-    "rollback NAME               accept an old version's text anew, --to\n"
-    "show [NAME]                 what is accepted\n"
-    "history NAME                versions, who and when\n"
-    "diff NAME [FROM [TO]]       what changed between versions\n"
-    "status                      what is in force where, --at IP:PORT\n"
-    "dump IP:PORT                a process's state\n"
-    "drain IP:PORT               a process's graceful stop\n"
-    "explain ID FILE...          one request's story from logs\n"
-    "losses FILE...              where answers came late, from logs\n"
-    "timeline FILE...            what happened when, from logs\n"
-    "help COMMAND                more on one of these\n"
+    "publish TEMPLATE VALUES...  publish a new template\n"
+    "revise TEMPLATE VALUES...   publish a new version, needs --base\n"
+    "rollback NAME               publish an old version again, needs --to\n"
+    "show [NAME]                 list templates or print one\n"
+    "history NAME                list versions with author and time\n"
+    "diff NAME [FROM [TO]]       compare two versions\n"
+    "status                      list versions in force, needs --at\n"
+    "dump IP:PORT                print the state of a process\n"
+    "drain IP:PORT               stop a process gracefully\n"
+    "explain ID FILE...          trace one request through logs\n"
+    "losses FILE...              count late and failed requests in logs\n"
+    "timeline FILE...            count events in logs, every two seconds\n"
+    "help COMMAND                describe a command\n"
     "\vExit codes: 0 done; 1 failed, nothing changed; 2 a file or argument "
     "is wrong; 3 conflict, nothing changed; 4 not known whether it took "
     "effect.";
@@ -103,16 +106,18 @@
 enum { KEY_AT = 1000, KEY_KEY_FILE, KEY_SETTLE };
 
 static const struct argp_option options[] = {
-    {"log", 'l', "IP:PORT", 0, "The platform's log service", 0},
-    {"at", KEY_AT, "IP:PORT", 0, "A process to ask for the status", 0},
-    {"base", 'b', "VERSION", 0, "Version that a revision builds on", 0},
+    {"log", 'l', "IP:PORT", 0, "Address of the platform's log service", 0},
+    {"at", KEY_AT, "IP:PORT", 0, "Process that answers status", 0},
+    {"base", 'b', "VERSION", 0, "Version that a new one is based on", 0},
     {"to", 't', "VERSION", 0, "Version to roll back to, show or wait for", 0},
     {"wait", 'w', "SECONDS", 0, "Wait until it is in force everywhere", 0},
     {"settle", KEY_SETTLE, "SECONDS", 0,
-     "How long to try to learn a record's fate (15)", 0},
-    {"note", 'n', "TEXT", 0, "Why; kept with the version", 0},
-    {"author", 'a', "NAME", 0, "Who; default: the login name", 0},
-    {"key-file", KEY_KEY_FILE, "FILE", 0, "Holds the operators' key", 0},
+     "Timeout for a record to appear in the log (15)", 0},
+    {"note", 'n', "TEXT", 0, "Reason for the change; kept with the version",
+     0},
+    {"author", 'a', "NAME", 0,
+     "Author of the version; default: the login name", 0},
+    {"key-file", KEY_KEY_FILE, "FILE", 0, "File with the operators' key", 0},
     {"json", 'j', NULL, 0, "Print JSON", 0},
     {0}};
 
@@ -208,7 +213,7 @@
     CliArguments a = {.settle_s = 15, .note = "", .author = g_get_user_name()};
     struct argp argp = {
         options, parse_option, "COMMAND [ARGUMENT...]", doc, NULL, NULL, NULL};
-    /* A wrong option is a wrong argument: exit code 2 for both. */
+    /* argp exits with 64 by default; the help promises 2. */
     argp_err_exit_status = CLI_INVALID;
     argp_parse(&argp, argc, argv, 0, NULL, &a);
     signal(SIGPIPE, SIG_IGN);
