--- a/src/cfg.c
+++ b/src/cfg.c
@@ -8,7 +8,7 @@
 
 #define MAX_MEMORY_MB 4000000
 #define MAX_WAIT_MS 3600000
-#define CLASS_WORDS "lookup|interactive|batch"
+#define CLASS_NAMES "lookup|interactive|batch"
 
 struct CfgSet {
     atomic_int refs;
@@ -25,46 +25,48 @@
 static const IniRule template_rules[] = {
     {"template", "name", INI_TEXT, true, NULL, 0, 0, NULL, "its name"},
     {"template", "cold_second_cost", INI_INT, false, "10", 0, 1000000, NULL,
-     "what one second of a caller's cold wait costs"},
+     "cost of one second that a request waits for a cold load"},
     {"template", "idle_hour_cost", INI_INT, false, "10", 0, 1000000, NULL,
-     "what one idle accelerator hour costs, same unit"},
+     "cost of one idle accelerator hour, in the same unit"},
     {"upstreams", "kind", INI_CHOICE, true, NULL, 0, 0, "engine|service",
-     "what stands behind the name"},
+     "kind of these upstreams"},
     {"upstreams", "fencing", INI_CHOICE, false, "checked", 0, 0,
-     "checked|ignored", "whether old fencing numbers are refused"},
-    {"model", "upstreams", INI_TEXT, true, NULL, 0, 0, NULL, "where it runs"},
+     "checked|ignored", "whether they refuse old fencing tokens"},
+    {"model", "upstreams", INI_TEXT, true, NULL, 0, 0, NULL,
+     "upstreams that run it"},
     {"model", "memory_mb", INI_INT, true, NULL, 1, MAX_MEMORY_MB, NULL,
      "accelerator memory of one replica"},
     {"model", "replicas", INI_INT, false, "1", 1, 10000, NULL,
-     "most replicas in each data centre"},
+     "max replicas in each data centre"},
     {"model", "load_ms", INI_INT, false, "10000", 1, MAX_WAIT_MS, NULL,
-     "expected cold load"},
+     "expected duration of a cold load"},
     {"model", "wait_ms", INI_INT, false, "60000", 1, MAX_WAIT_MS, NULL,
-     "how long a caller may wait for the whole answer"},
-    {"model", "class", INI_CHOICE, false, "interactive", 0, 0, CLASS_WORDS,
-     "queue it waits in"},
+     "timeout of a request until the answer is complete"},
+    {"model", "class", INI_CHOICE, false, "interactive", 0, 0, CLASS_NAMES,
+     "queue of its requests"},
     {"adapter", "base", INI_TEXT, true, NULL, 0, 0, NULL, "its base model"},
     {"adapter", "memory_mb", INI_INT, false, "64", 1, MAX_MEMORY_MB, NULL,
-     "accelerator memory of one copy"},
+     "accelerator memory of one replica"},
     {"adapter", "replicas", INI_INT, false, "1", 1, 10000, NULL,
-     "most copies in each data centre"},
+     "max replicas in each data centre"},
     {"adapter", "load_ms", INI_INT, false, "20", 1, MAX_WAIT_MS, NULL,
-     "expected load"},
+     "expected duration of a load"},
     {"adapter", "wait_ms", INI_INT, false, "60000", 1, MAX_WAIT_MS, NULL,
-     "how long a caller may wait"},
-    {"adapter", "class", INI_CHOICE, false, "interactive", 0, 0, CLASS_WORDS,
-     "queue it waits in"},
-    {"service", "upstreams", INI_TEXT, true, NULL, 0, 0, NULL, "who answers"},
+     "timeout of a request until the answer is complete"},
+    {"adapter", "class", INI_CHOICE, false, "interactive", 0, 0, CLASS_NAMES,
+     "queue of its requests"},
+    {"service", "upstreams", INI_TEXT, true, NULL, 0, 0, NULL,
+     "upstreams that serve it"},
     {"service", "idempotency", INI_CHOICE, false, "none", 0, 0,
-     "none|required", "whether calls carry Idempotency-Key"},
+     "none|required", "whether every call must carry Idempotency-Key"},
     {"service", "wait_ms", INI_INT, false, "10000", 1, MAX_WAIT_MS, NULL,
-     "how long a caller may wait"},
+     "timeout of a request"},
     {"workspace", "models", INI_TEXT, false, "*", 0, 0, NULL,
      "models it may call"},
     {"workspace", "services", INI_TEXT, false, "*", 0, 0, NULL,
      "services it may call"},
     {"workspace", "priority", INI_INT, false, "5", 0, 9, NULL,
-     "higher goes first"},
+     "higher is served first"},
     {"workspace", "requests_per_second", INI_INT, false, "1000", 1, 1000000,
      NULL, "over all routers"},
     {"workspace", "concurrency", INI_INT, false, "1000", 1, 1000000, NULL,
@@ -78,16 +80,16 @@
     {"workspace", "template", INI_TEXT, true, NULL, 0, 0, NULL,
      "template it uses"},
     {"workspace", "keys_sha256", INI_TEXT, true, NULL, 0, 0, NULL,
-     "digests of its bearer keys"},
+     "SHA-256 digests of its bearer keys"},
     {NULL, NULL, INI_TEXT, false, NULL, 0, 0, NULL, NULL}};
 
 /* ---- reading one file --------------------------------------------------- */
 
-/* What a reader of one text carries along. */
+/* State of reading one template or values text. */
 typedef struct {
-    const char *where; /* for faults: template or workspace name */
+    const char *where; /* prefix of errors: template or workspace name */
     GString *faults;
-    GHashTable *params; /* name -> value, or NULL */
+    GHashTable *params; /* parameter name -> value; NULL: none allowed */
 } Reader;
 
 static void G_GNUC_PRINTF(3, 4)
@@ -101,22 +103,22 @@
     va_end(args);
 }
 
-/* VALUE with every ${name} replaced; faults name the unknown ones. */
+/* VALUE with every ${name} replaced.  A name without a value is an error. */
 static char *
-fill_parameters(Reader *rd, const char *sec, const char *key,
-                const char *value)
+substitute_parameters(Reader *rd, const char *sec, const char *key,
+                      const char *value)
 {
     GString *out = g_string_new(NULL);
     const char *at = value;
     const char *open;
     while ((open = strstr(at, "${"))) {
-        const char *shut = strchr(open, '}');
-        if (!shut) {
+        const char *end = strchr(open, '}');
+        if (!end) {
             add_fault(rd, sec, "%s: ${ without }", key);
             break;
         }
         g_string_append_len(out, at, open - at);
-        g_autofree char *name = g_strndup(open + 2, (gsize)(shut - open - 2));
+        g_autofree char *name = g_strndup(open + 2, (gsize)(end - open - 2));
         const char *param =
             rd->params ? g_hash_table_lookup(rd->params, name) : NULL;
         if (!param) {
@@ -125,14 +127,14 @@
         else {
             g_string_append(out, param);
         }
-        at = shut + 1;
+        at = end + 1;
     }
     g_string_append(out, at);
     return g_string_free(out, FALSE);
 }
 
-/* Checked values of section SEC under the rules of KIND, fallbacks filled
-   in.  The caller destroys the table. */
+/* Checks section SEC against the rules of KIND and returns its values, with
+   defaults for absent keys.  The caller destroys the table. */
 static GHashTable *
 read_section(Reader *rd, GKeyFile *kf, const char *sec, const char *kind,
              const IniRule *rules)
@@ -147,7 +149,7 @@
             continue;
         }
         g_autofree char *raw = g_key_file_get_value(kf, sec, *k, NULL);
-        char *value = fill_parameters(rd, sec, *k, raw);
+        char *value = substitute_parameters(rd, sec, *k, raw);
         g_strstrip(value);
         g_autofree char *wrong = ini_check_value(rule, value);
         if (wrong) {
@@ -176,7 +178,7 @@
 }
 
 static char *
-get_copy(GHashTable *values, const char *key)
+dup_value(GHashTable *values, const char *key)
 {
     return g_strdup(g_hash_table_lookup(values, key));
 }
@@ -244,8 +246,8 @@
     g_free(w);
 }
 
-/* Put ITEM under NAME; a second one of the same name is a fault, in this
-   template or another. */
+/* Names are unique across all templates: a second item of the same name is an
+   error, and ITEM is destroyed. */
 static void
 add_item(Reader *rd, const char *sec, GHashTable *table, char *name,
          gpointer item, GDestroyNotify destroy)
@@ -273,6 +275,7 @@
 
 /* ---- one template ------------------------------------------------------- */
 
+/* Where the items of one template go, and what they have in common. */
 typedef struct {
     CfgSet *set;
     const char *template_name;
@@ -281,17 +284,17 @@
 } Target;
 
 static void
-take_model(Reader *rd, Target *t, GKeyFile *kf, const char *sec,
+read_model(Reader *rd, Target *t, GKeyFile *kf, const char *sec,
            const char *kind, const char *name)
 {
     g_autoptr(GHashTable) values =
         read_section(rd, kf, sec, kind, template_rules);
     CfgModel *m = make_model(values, name);
     if (strcmp(kind, "model") == 0) {
-        m->upstreams = get_copy(values, "upstreams");
+        m->upstreams = dup_value(values, "upstreams");
     }
     else {
-        m->base = get_copy(values, "base");
+        m->base = dup_value(values, "base");
     }
     m->cold_second_cost = t->cold_second_cost;
     m->idle_hour_cost = t->idle_hour_cost;
@@ -300,14 +303,14 @@
 }
 
 static void
-take_service(Reader *rd, Target *t, GKeyFile *kf, const char *sec,
+read_service(Reader *rd, Target *t, GKeyFile *kf, const char *sec,
              const char *name)
 {
     g_autoptr(GHashTable) values =
         read_section(rd, kf, sec, "service", template_rules);
     CfgService *s = g_new0(CfgService, 1);
     s->name = g_strdup(name);
-    s->upstreams = get_copy(values, "upstreams");
+    s->upstreams = dup_value(values, "upstreams");
     s->idempotency_required =
         strcmp(g_hash_table_lookup(values, "idempotency"), "required") == 0;
     s->wait_ms = get_uint(values, "wait_ms");
@@ -316,7 +319,7 @@
 }
 
 static void
-take_upstreams(Reader *rd, Target *t, GKeyFile *kf, const char *sec,
+read_upstreams(Reader *rd, Target *t, GKeyFile *kf, const char *sec,
                const char *name)
 {
     g_autoptr(GHashTable) values =
@@ -329,7 +332,7 @@
 }
 
 static void
-take_section(Reader *rd, Target *t, GKeyFile *kf, const char *sec)
+read_item(Reader *rd, Target *t, GKeyFile *kf, const char *sec)
 {
     g_auto(GStrv) words = g_strsplit(sec, " ", 2);
     const char *name = words[1];
@@ -339,13 +342,13 @@
         return;
     }
     if (strcmp(kind, "model") == 0 || strcmp(kind, "adapter") == 0) {
-        take_model(rd, t, kf, sec, kind, name);
+        read_model(rd, t, kf, sec, kind, name);
     }
     else if (strcmp(kind, "service") == 0) {
-        take_service(rd, t, kf, sec, name);
+        read_service(rd, t, kf, sec, name);
     }
     else if (strcmp(kind, "upstreams") == 0) {
-        take_upstreams(rd, t, kf, sec, name);
+        read_upstreams(rd, t, kf, sec, name);
     }
     else {
         add_fault(rd, sec, "unknown section");
@@ -377,7 +380,7 @@
     }
 }
 
-/* Parameters of the template, overridden by those of the workspace. */
+/* Defaults of the template, overridden by the values of the workspace. */
 static GHashTable *
 collect_parameters(Reader *rd, GKeyFile *tpl, GKeyFile *values)
 {
@@ -386,7 +389,7 @@
     g_auto(GStrv) names = g_key_file_get_keys(tpl, "parameters", NULL, NULL);
     for (char **n = names; n && *n; n++) {
         char *def = g_key_file_get_value(tpl, "parameters", *n, NULL);
-        /* "required" has no default: the workspace must give a value. */
+        /* The value "required" means no default: the workspace must set it. */
         if (strcmp(def, "required") == 0) {
             g_free(def);
         }
@@ -408,7 +411,7 @@
 }
 
 static void
-take_workspace(Reader *rd, CfgSet *set, GKeyFile *tpl, const char *tpl_name,
+read_workspace(Reader *rd, CfgSet *set, GKeyFile *tpl, const char *tpl_name,
                GKeyFile *kf)
 {
     g_auto(GStrv) groups = g_key_file_get_groups(kf, NULL);
@@ -423,10 +426,10 @@
     if (strcmp(g_hash_table_lookup(head, "template"), tpl_name) != 0) {
         add_fault(rd, "workspace", "template: is not '%s'", tpl_name);
     }
-    Reader inner = {*name ? name : rd->where, rd->faults, NULL};
-    inner.params = collect_parameters(&inner, tpl, kf);
+    Reader wrd = {*name ? name : rd->where, rd->faults, NULL};
+    wrd.params = collect_parameters(&wrd, tpl, kf);
     g_autoptr(GHashTable) values =
-        read_section(&inner, tpl, "workspace", "workspace", template_rules);
+        read_section(&wrd, tpl, "workspace", "workspace", template_rules);
     CfgWorkspace *w = g_new0(CfgWorkspace, 1);
     w->name = g_strdup(name);
     w->template_name = g_strdup(tpl_name);
@@ -437,13 +440,13 @@
     w->requests_per_second = get_uint(values, "requests_per_second");
     w->concurrency = get_uint(values, "concurrency");
     w->tokens_per_minute = get_uint(values, "tokens_per_minute");
-    g_hash_table_destroy(inner.params);
+    g_hash_table_destroy(wrd.params);
     if (g_hash_table_contains(set->workspaces, w->name)) {
         add_fault(rd, "workspace", "'%s' is defined twice", w->name);
         free_workspace(w);
         return;
     }
-    add_keys(&inner, set, w);
+    add_keys(&wrd, set, w);
     g_hash_table_insert(set->workspaces, w->name, w);
 }
 
@@ -463,7 +466,7 @@
 }
 
 static void
-take_source(CfgSet *set, const CfgSource *src, GString *faults)
+read_source(CfgSet *set, const CfgSource *src, GString *faults)
 {
     Reader rd = {src->name, faults, NULL};
     g_autoptr(GKeyFile) kf = parse_text(&rd, src->template_text);
@@ -479,7 +482,7 @@
                 get_uint(head, "idle_hour_cost")};
     g_auto(GStrv) groups = g_key_file_get_groups(kf, NULL);
     for (char **g = groups; *g; g++) {
-        take_section(&rd, &t, kf, *g);
+        read_item(&rd, &t, kf, *g);
     }
     for (size_t i = 0; i < src->values_count; i++) {
         g_autofree char *where =
@@ -487,7 +490,7 @@
         Reader vrd = {where, faults, NULL};
         g_autoptr(GKeyFile) vkf = parse_text(&vrd, src->values_text[i]);
         if (vkf) {
-            take_workspace(&vrd, set, kf, src->name, vkf);
+            read_workspace(&vrd, set, kf, src->name, vkf);
         }
     }
 }
@@ -537,7 +540,7 @@
 static int
 compare_names(gconstpointer a, gconstpointer b)
 {
-    /* Every listed item starts with its name. */
+    /* The name is the first member of every listed type. */
     return strcmp(**(char *const *const *)a, **(char *const *const *)b);
 }
 
@@ -595,7 +598,7 @@
     set->keys = g_hash_table_new(g_str_hash, g_str_equal);
     gsize before = faults->len;
     for (size_t i = 0; i < count; i++) {
-        take_source(set, &sources[i], faults);
+        read_source(set, &sources[i], faults);
         set->version = MAX(set->version, sources[i].version);
     }
     set->model_list = sort_values(set->models);
@@ -676,7 +679,8 @@
 const CfgWorkspace *
 cfg_authenticate(const CfgSet *s, const char *key)
 {
-    /* Looked up by digest, so that timing tells nothing of the key. */
+    /* The lookup compares digests, so its timing reveals nothing of the key.
+     */
     g_autofree char *hex = bg_digest_hex(key, strlen(key));
     return g_hash_table_lookup(s->keys, hex);
 }
--- a/src/cfg.h
+++ b/src/cfg.h
@@ -1,9 +1,10 @@
-/* cfg: templates with parameters and the values of each workspace.
+/* cfg: the configuration: templates, and the values of their workspaces.
 
-   A template (INI) names models, adapters, services and upstreams, and one
-   [workspace] section whose values may use ${parameter}; a values file
-   (INI) names a workspace and gives its parameters.  A set of templates is
-   compiled into one immutable CfgSet; readers hold it by reference. */
+   A template (INI) defines models, adapters, services and upstreams.  It may
+   have a [parameters] section, and a [workspace] section whose values may
+   contain ${parameter}.  A values file (INI) defines one workspace and its
+   parameters.  All templates together are compiled into one CfgSet, which is
+   immutable and reference counted: any thread may read it. */
 #ifndef CFG_H
 #define CFG_H
 
@@ -12,11 +13,11 @@
 typedef enum { CFG_LOOKUP, CFG_INTERACTIVE, CFG_BATCH } CfgClass;
 #define CFG_CLASSES 3
 
-/* A group of upstreams under one name in the VM list. */
+/* A group of upstreams, which the VM list has under this name. */
 typedef struct {
     char *name;
-    bool engine; /* else a plain service */
-    bool fenced; /* refuses orders with an old fencing number */
+    bool engine; /* else a service */
+    bool fenced; /* refuses orders with an old fencing token */
 } CfgUpstreams;
 
 typedef struct {
@@ -24,11 +25,11 @@
     char *upstreams; /* CfgUpstreams name */
     char *base;      /* base model of an adapter, else NULL */
     uint32_t memory_mb;
-    uint32_t replicas; /* ceiling in each data centre */
-    uint32_t load_ms;  /* expected cold load, until one was seen */
-    uint32_t wait_ms;  /* how long a caller may wait, whole */
+    uint32_t replicas; /* max in each data centre */
+    uint32_t load_ms;  /* assumed until a cold load was measured */
+    uint32_t wait_ms;  /* timeout of a request as a whole */
     CfgClass class_;
-    double cold_second_cost; /* of its template */
+    double cold_second_cost; /* as its template has it */
     double idle_hour_cost;
     char *template_name;
 } CfgModel;
@@ -58,16 +59,16 @@
 /* One template's source: its text and its workspaces' values. */
 typedef struct {
     const char *name;
-    uint64_t version; /* offset it took effect at */
+    uint64_t version; /* log offset of its record */
     const char *template_text;
     char **values_text;
     size_t values_count;
 } CfgSource;
 
-/* Compile SOURCES into a set.  NULL when any rule is broken; every fault
-   goes to FAULTS, one a line. */
+/* Compiles SOURCES into a set.  If there is any error in them, returns NULL;
+   all errors are appended to FAULTS, one a line. */
 CfgSet *cfg_compile(const CfgSource *sources, size_t count, GString *faults);
-/* The name a template's text gives itself, or NULL; free with g_free. */
+/* The name in the [template] section of TEXT, or NULL; free with g_free. */
 char *cfg_read_template_name(const char *text);
 
 CfgSet *cfg_ref(CfgSet *s);
@@ -80,12 +81,12 @@
 const CfgService *cfg_find_service(const CfgSet *s, const char *name);
 const CfgUpstreams *cfg_find_upstreams(const CfgSet *s, const char *name);
 const CfgWorkspace *cfg_find_workspace(const CfgSet *s, const char *name);
-/* The workspace whose bearer key is KEY, or NULL. */
+/* The workspace that has the bearer key KEY, or NULL. */
 const CfgWorkspace *cfg_authenticate(const CfgSet *s, const char *key);
 bool cfg_may_call_model(const CfgWorkspace *w, const char *model);
 bool cfg_may_call_service(const CfgWorkspace *w, const char *service);
 
-/* Every item, sorted by name; the arrays belong to the set. */
+/* All items, sorted by name; the arrays belong to the set. */
 GPtrArray *cfg_list_models(const CfgSet *s);     /* CfgModel */
 GPtrArray *cfg_list_workspaces(const CfgSet *s); /* CfgWorkspace */
 
--- a/src/js.c
+++ b/src/js.c
@@ -1,11 +1,11 @@
 #include "js.h"
 
-/* The deepest nesting of brackets outside strings. */
+/* Max nesting of brackets outside of strings. */
 static int
 measure_depth(const char *data, size_t len)
 {
     int depth = 0;
-    int deepest = 0;
+    int max_depth = 0;
     bool in_string = false;
     for (size_t i = 0; i < len; i++) {
         char c = data[i];
@@ -22,20 +22,20 @@
         }
         else if (c == '[' || c == '{') {
             depth++;
-            deepest = MAX(deepest, depth);
+            max_depth = MAX(max_depth, depth);
         }
         else if (c == ']' || c == '}') {
             depth--;
         }
     }
-    return deepest;
+    return max_depth;
 }
 
 json_t *
 js_parse(const char *data, size_t len, GError **err)
 {
-    /* The parser recurses, and an HTTP thread's stack has 100 kB: a body of
-       brackets would overrun it and end the process. */
+    /* The parser is recursive and an HTTP thread has a stack of 100 kB: a body
+       of brackets would overflow it and crash the process. */
     if (measure_depth(data, len) > JS_MAX_DEPTH) {
         g_set_error(err, BG_ERROR, BG_ERR_INVALID, "JSON nests deeper than %d",
                     JS_MAX_DEPTH);
--- a/src/js.h
+++ b/src/js.h
@@ -1,4 +1,4 @@
-/* js: JSON from outside, with a bound on nesting. */
+/* js: parses JSON from untrusted sources, with a limit on nesting. */
 #ifndef JS_H
 #define JS_H
 
@@ -8,8 +8,9 @@
 
 #define JS_MAX_DEPTH 64
 
-/* Parse LEN bytes; NULL with BG_ERR_INVALID when they are no JSON text or
-   nest deeper than JS_MAX_DEPTH.  ERR may be NULL. */
+/* Parses LEN bytes; NULL with BG_ERR_INVALID when they are not JSON, have an
+   object with a duplicate key, or nest deeper than JS_MAX_DEPTH.  ERR may be
+   NULL. */
 json_t *js_parse(const char *data, size_t len, GError **err);
 
 #endif
