--- a/src/cfg.c
+++ b/src/cfg.c
@@ -679,8 +679,7 @@
 const CfgWorkspace *
 cfg_authenticate(const CfgSet *s, const char *key)
 {
-    /* The lookup compares digests, so its timing reveals nothing of the key.
-     */
+    /* Digests are compared, so the timing reveals nothing of the key. */
     g_autofree char *hex = bg_digest_hex(key, strlen(key));
     return g_hash_table_lookup(s->keys, hex);
 }
