--- a/src/watch.c
+++ b/src/watch.c
@@ -7,16 +7,16 @@
 #include <sys/resource.h>
 #include <sys/socket.h>
 
-#define FIRST_LOOK_MS 250
-#define LOOK_MS 100
-#define MAX_FDS 65536
-#define NOT_FOUND (-2) /* looked for in vain: not looked for again */
+#define FIRST_CHECK_MS 250
+#define CHECK_INTERVAL_MS 100
+#define MAX_SEARCHED_FDS 65536
+#define NOT_FOUND (-2) /* the search is not repeated */
 
 void
 watch_start(Watch *w, uint64_t now_ms)
 {
     w->fd = -1;
-    w->next_look_ms = now_ms + FIRST_LOOK_MS;
+    w->next_check_ms = now_ms + FIRST_CHECK_MS;
 }
 
 static bool
@@ -44,11 +44,12 @@
 find_socket(const struct mg_request_info *info)
 {
     struct rlimit limit;
-    int most = MAX_FDS;
-    if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur < MAX_FDS) {
-        most = (int)limit.rlim_cur;
+    int max_fds = MAX_SEARCHED_FDS;
+    if (getrlimit(RLIMIT_NOFILE, &limit) == 0 &&
+        limit.rlim_cur < MAX_SEARCHED_FDS) {
+        max_fds = (int)limit.rlim_cur;
     }
-    for (int fd = 0; fd < most; fd++) {
+    for (int fd = 0; fd < max_fds; fd++) {
         if (is_socket_of(fd, info)) {
             return fd;
         }
@@ -59,12 +60,13 @@
 bool
 watch_is_gone(Watch *w, uint64_t now_ms, const struct mg_request_info *info)
 {
-    if (now_ms < w->next_look_ms || w->fd == NOT_FOUND) {
+    if (now_ms < w->next_check_ms || w->fd == NOT_FOUND) {
         return false;
     }
-    w->next_look_ms = now_ms + LOOK_MS;
+    w->next_check_ms = now_ms + CHECK_INTERVAL_MS;
     if (w->fd < 0) {
-        /* The connection outlives its request, so the number stays its. */
+        /* The connection stays open longer than the request, so the descriptor
+           is not reused meanwhile. */
         w->fd = find_socket(info);
     }
     if (w->fd < 0) {
--- a/src/watch.h
+++ b/src/watch.h
@@ -1,6 +1,6 @@
-/* watch: tells whether a caller has closed its connection while its request
-   is still being worked on.  CivetWeb does not hand out the socket, so it is
-   found among the process's own by its two addresses. */
+/* watch: detects that a caller has closed its connection while its request is
+   still in progress.  CivetWeb does not expose the socket, so it is searched
+   among the file descriptors of the process by its two addresses. */
 #ifndef WATCH_H
 #define WATCH_H
 
@@ -9,13 +9,14 @@
 struct mg_request_info;
 
 typedef struct {
-    int fd; /* -1: not found yet */
-    uint64_t next_look_ms;
+    int fd; /* -1: not searched yet; below: not found */
+    uint64_t next_check_ms;
 } Watch;
 
-/* The caller of a short request is never looked at. */
+/* The first check is due after 250 ms, so short requests cost none. */
 void watch_start(Watch *w, uint64_t now_ms);
-/* True once the far end has closed.  Looks at most every 100 ms. */
+/* True if the caller has closed its connection.  Checks at most every 100 ms
+   and returns false in between. */
 bool watch_is_gone(Watch *w, uint64_t now_ms,
                    const struct mg_request_info *info);
 
