--- a/src/keys.c
+++ b/src/keys.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-/* Forgetting one is safe: its claim, should it still arrive, is never sent
-   by anyone; the key then only reads "may have run" for its life. */
+/* Dropping the oldest is safe: if its claim still arrives, no router sends the
+   call; the key then answers "may have run" until it expires. */
 #define MAX_VOID_ATTEMPTS 16384
-/* Entries looked at for each claim when removing old ones. */
-#define REMOVE_STEPS 8
+/* Bounds the work of a claim. */
+#define EXPIRY_CHECKS_PER_CLAIM 8
 
 typedef struct {
     char *author;
@@ -18,13 +18,14 @@
     GQueue order;     /* KeyEntry, oldest claim first */
     GQueue bodies;    /* KeyEntry with a kept body, oldest first */
     size_t body_bytes;
-    GHashTable *void_attempts; /* released: their claims stay void */
+    GHashTable *void_attempts; /* ids of released attempts: their claims are
+                                  rejected */
     GQueue void_order;         /* owned by void_attempts */
-    Clock ahead;               /* the VM with the highest wall time */
-    Clock second;              /* of another VM; its time is log time */
+    Clock highest;             /* the VM with the highest wall time */
+    Clock second_highest;      /* highest of the other VMs: log time */
 };
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation ----------------------------------------------------------- */
 
 static void
 free_entry(gpointer p)
@@ -61,8 +62,8 @@
     g_queue_clear(&t->void_order);
     g_hash_table_destroy(t->keys);
     g_hash_table_destroy(t->void_attempts);
-    g_free(t->ahead.author);
-    g_free(t->second.author);
+    g_free(t->highest.author);
+    g_free(t->second_highest.author);
     g_free(t);
 }
 
@@ -78,8 +79,8 @@
     c->wall_ms = MAX(c->wall_ms, wall_ms);
 }
 
-/* The highest time alone would let one broken clock end every key's life at
-   once, and their calls could then run again.  The second highest, of
+/* If log time were the highest time, a single wrong clock would expire all
+   keys at once, and their calls could run again.  The second highest, of
    another VM, is no further ahead than that VM's clock. */
 void
 keys_note_time(KeyTable *t, const char *author, uint64_t wall_ms)
@@ -87,30 +88,30 @@
     if (!*author || wall_ms == 0) {
         return;
     }
-    if (g_strcmp0(t->ahead.author, author) == 0) {
-        set_clock(&t->ahead, author, wall_ms);
+    if (g_strcmp0(t->highest.author, author) == 0) {
+        set_clock(&t->highest, author, wall_ms);
     }
-    else if (wall_ms > t->ahead.wall_ms) {
-        g_free(t->second.author);
-        t->second = t->ahead;
-        t->ahead = (Clock){NULL, 0};
-        set_clock(&t->ahead, author, wall_ms);
+    else if (wall_ms > t->highest.wall_ms) {
+        g_free(t->second_highest.author);
+        t->second_highest = t->highest;
+        t->highest = (Clock){NULL, 0};
+        set_clock(&t->highest, author, wall_ms);
     }
-    else if (wall_ms > t->second.wall_ms) {
-        set_clock(&t->second, author, wall_ms);
+    else if (wall_ms > t->second_highest.wall_ms) {
+        set_clock(&t->second_highest, author, wall_ms);
     }
 }
 
 uint64_t
-keys_get_time(const KeyTable *t)
+keys_get_log_time_ms(const KeyTable *t)
 {
-    return t->second.wall_ms;
+    return t->second_highest.wall_ms;
 }
 
 uint64_t
-keys_get_birth(const KeyTable *t, uint64_t wall_ms)
+keys_get_born_ms(const KeyTable *t, uint64_t wall_ms)
 {
-    return MAX(keys_get_time(t), wall_ms);
+    return MAX(keys_get_log_time_ms(t), wall_ms);
 }
 
 /* ---- the table ---------------------------------------------------------- */
@@ -136,25 +137,25 @@
 }
 
 static bool
-is_old(const KeyTable *t, const KeyEntry *k)
+is_expired(const KeyTable *t, const KeyEntry *k)
 {
-    uint64_t now_ms = keys_get_time(t);
+    uint64_t now_ms = keys_get_log_time_ms(t);
     bool full = g_hash_table_size(t->keys) >= KEYS_MAX;
-    uint64_t life_ms = full ? KEYS_MIN_LIFE_MS : KEYS_LIFE_MS;
-    return now_ms > k->born_ms && now_ms - k->born_ms > life_ms;
+    uint64_t retention_ms = full ? KEYS_MIN_RETENTION_MS : KEYS_RETENTION_MS;
+    return now_ms > k->born_ms && now_ms - k->born_ms > retention_ms;
 }
 
-/* A key of a VM whose clock is ahead would hold up all behind it: whatever
-   was born in the future goes to the end of the queue. */
+/* The queue is checked from its head.  A key with a time in the future, of a
+   VM whose clock is ahead, would block all behind it: it moves to the end. */
 static void
-remove_old(KeyTable *t)
+remove_expired(KeyTable *t)
 {
-    for (int i = 0; i < REMOVE_STEPS && t->order.head; i++) {
+    for (int i = 0; i < EXPIRY_CHECKS_PER_CLAIM && t->order.head; i++) {
         KeyEntry *k = t->order.head->data;
-        if (is_old(t, k)) {
+        if (is_expired(t, k)) {
             remove_key(t, k);
         }
-        else if (k->born_ms > keys_get_time(t)) {
+        else if (k->born_ms > keys_get_log_time_ms(t)) {
             g_queue_unlink(&t->order, k->link);
             g_queue_push_tail_link(&t->order, k->link);
         }
@@ -180,7 +181,7 @@
 }
 
 static bool
-lose(GString *why, const char *text)
+reject(GString *why, const char *text)
 {
     g_string_assign(why, text);
     return false;
@@ -194,7 +195,7 @@
     k->attempt_id = g_strdup(r->attempt_id);
     memcpy(k->request_digest, r->request_digest.data, 32);
     k->expires_wall_ms = r->expires_wall_ms;
-    k->born_ms = keys_get_birth(t, r->wall_ms);
+    k->born_ms = keys_get_born_ms(t, r->wall_ms);
     k->pair = g_strdup(pair);
     g_queue_push_tail(&t->order, k);
     k->link = t->order.tail;
@@ -205,21 +206,21 @@
 apply_claim(KeyTable *t, const Bg__KeyRecord *r, const char *pair,
             GString *why)
 {
-    /* A router that told its caller "not run" gave the attempt up; its
-       claim may still arrive behind the release, or a second time after a
-       lost acknowledgement, and must stay void. */
+    /* A router that answered "not run" has released the attempt.  Its claim
+       may still arrive after the release, or a second time after a lost
+       acknowledgement, and must have no effect. */
     if (g_hash_table_contains(t->void_attempts, r->attempt_id)) {
-        return lose(why, "the attempt was given up");
+        return reject(why, "the attempt was given up");
     }
     if (r->request_digest.len != 32) {
-        return lose(why, "bad digest");
+        return reject(why, "bad digest");
     }
-    remove_old(t);
+    remove_expired(t);
     if (g_hash_table_contains(t->keys, pair)) {
-        return lose(why, "the key is taken");
+        return reject(why, "the key is taken");
     }
     if (g_hash_table_size(t->keys) >= KEYS_MAX) {
-        return lose(why, "the key table is full");
+        return reject(why, "the key table is full");
     }
     add_key(t, r, pair);
     return true;
@@ -232,7 +233,7 @@
     g_free(k->content_type);
     k->content_type = g_strdup(r->content_type);
     drop_body(t, k);
-    k->answer_dropped = r->answer_dropped || r->body.len > KEYS_MAX_BODY;
+    k->answer_dropped = r->answer_dropped || r->body.len > KEYS_MAX_BODY_BYTES;
     if (k->answer_dropped || r->body.len == 0) {
         return;
     }
@@ -241,7 +242,7 @@
     g_queue_push_tail(&t->bodies, k);
     k->body_link = t->bodies.tail;
     t->body_bytes += k->body_len;
-    while (t->body_bytes > KEYS_MAX_BODIES) {
+    while (t->body_bytes > KEYS_MAX_BODIES_BYTES) {
         KeyEntry *oldest = t->bodies.head->data;
         oldest->answer_dropped = true;
         drop_body(t, oldest);
@@ -252,7 +253,7 @@
 apply_release(KeyTable *t, const Bg__KeyRecord *r, KeyEntry *k, GString *why)
 {
     if (k->step == BG__KEY_STEP__KEY_UNKNOWN) {
-        return lose(why, "the call may have run");
+        return reject(why, "the call may have run");
     }
     add_void(t, r->attempt_id);
     remove_key(t, k);
@@ -260,7 +261,8 @@
 }
 
 static bool
-apply_end(KeyTable *t, const Bg__KeyRecord *r, const char *pair, GString *why)
+apply_outcome(KeyTable *t, const Bg__KeyRecord *r, const char *pair,
+              GString *why)
 {
     KeyEntry *k = g_hash_table_lookup(t->keys, pair);
     bool release = r->step == BG__KEY_STEP__KEY_RELEASE;
@@ -268,10 +270,10 @@
         if (release) {
             add_void(t, r->attempt_id);
         }
-        return lose(why, "the attempt does not hold the key");
+        return reject(why, "the attempt does not hold the key");
     }
     if (k->step == BG__KEY_STEP__KEY_RESULT) {
-        return lose(why, "the result is already recorded");
+        return reject(why, "the result is already recorded");
     }
     if (release) {
         return apply_release(t, r, k, why);
@@ -295,7 +297,7 @@
     if (r->step == BG__KEY_STEP__KEY_CLAIM) {
         return apply_claim(t, r, pair, why);
     }
-    return apply_end(t, r, pair, why);
+    return apply_outcome(t, r, pair, why);
 }
 
 const KeyEntry *
@@ -376,8 +378,8 @@
     for (GList *l = t->void_order.head; l; l = l->next) {
         s->void_attempts[s->n_void_attempts++] = g_strdup(l->data);
     }
-    save_clock(&t->ahead, &s->ahead_author, &s->ahead_ms);
-    save_clock(&t->second, &s->second_author, &s->second_ms);
+    save_clock(&t->highest, &s->ahead_author, &s->ahead_ms);
+    save_clock(&t->second_highest, &s->second_author, &s->second_ms);
     return s;
 }
 
@@ -441,13 +443,14 @@
         g_ptr_array_add(entries, k);
     }
     if (!good || !load_bodies(t, s, entries)) {
-        g_set_error(err, BG_ERROR, BG_ERR_FORMAT, "a key's record is bad");
+        g_set_error(err, BG_ERROR, BG_ERR_FORMAT,
+                    "invalid record of an idempotency key");
         return false;
     }
     for (size_t i = 0; i < s->n_void_attempts; i++) {
         add_void(t, s->void_attempts[i]);
     }
-    load_clock(&t->ahead, s->ahead_author, s->ahead_ms);
-    load_clock(&t->second, s->second_author, s->second_ms);
+    load_clock(&t->highest, s->ahead_author, s->ahead_ms);
+    load_clock(&t->second_highest, s->second_author, s->second_ms);
     return true;
 }
