--- a/src/qr.c
+++ b/src/qr.c
@@ -6,28 +6,29 @@
 
 /* An upstream's restart is reported within seconds. */
 #define BOOT_WAIT_MS 30000
-#define MAX_BROKEN 1024
-#define MAX_PENDING 1024
+#define MAX_BROKEN_CALLS 1024
+#define MAX_PENDING_DEATHS 1024
 
-/* A broken call whose upstream may turn out to have died. */
+/* A call whose connection broke, while a restart of its upstream may still be
+   reported. */
 typedef struct {
     uint8_t digest[32];
     char *upstream;
-    char *boot; /* when the connection broke */
+    char *boot; /* known when the connection broke */
     uint64_t until_ms;
-} Broken;
+} BrokenCall;
 
-/* A death that the log has not shown yet. */
+/* A death record that was not seen in the log yet. */
 typedef struct {
     Bg__Record *record;
     uint64_t append_at_ms;
-} Pending;
+} PendingDeath;
 
 struct QrCore {
     QrParams params;
     QrOutput out;
     const Fold *fold;
-    GHashTable *boots; /* upstream -> boot */
+    GHashTable *boots; /* upstream -> its last reported boot */
     GQueue broken;     /* Broken, oldest first */
     GQueue pending;    /* Pending, oldest first */
 };
@@ -35,7 +36,7 @@
 static void
 free_broken(gpointer p)
 {
-    Broken *b = p;
+    BrokenCall *b = p;
     g_free(b->upstream);
     g_free(b->boot);
     g_free(b);
@@ -44,7 +45,7 @@
 static void
 free_pending(gpointer p)
 {
-    Pending *d = p;
+    PendingDeath *d = p;
     rec_free(d->record);
     g_free(d);
 }
@@ -76,14 +77,14 @@
     g_free(c);
 }
 
-/* ---- what is known ------------------------------------------------------ */
+/* ---- verdict ------------------------------------------------------------ */
 
 static uint32_t
 count_pending(const QrCore *c, const uint8_t digest[32])
 {
     uint32_t n = 0;
     for (GList *at = c->pending.head; at; at = at->next) {
-        const Bg__DeathRecord *d = ((Pending *)at->data)->record->death;
+        const Bg__DeathRecord *d = ((PendingDeath *)at->data)->record->death;
         /* Another router may have recorded the same death first. */
         n += memcmp(d->request_digest.data, digest, 32) == 0 &&
              !fold_has_death(c->fold, digest, d->upstream);
@@ -92,7 +93,7 @@
 }
 
 QrVerdict
-qr_judge(const QrCore *c, const uint8_t digest[32])
+qr_get_verdict(const QrCore *c, const uint8_t digest[32])
 {
     uint32_t deaths =
         fold_count_deaths(c->fold, digest) + count_pending(c, digest);
@@ -135,7 +136,8 @@
 find_pending(QrCore *c, const Bg__DeathRecord *d)
 {
     GList *at = c->pending.head;
-    while (at && !is_same_death(((Pending *)at->data)->record->death, d)) {
+    while (at &&
+           !is_same_death(((PendingDeath *)at->data)->record->death, d)) {
         at = at->next;
     }
     return at;
@@ -148,14 +150,14 @@
     Bg__Record *r = make_record(c, wall_ms, digest, upstream, false);
     if (fold_has_death(c->fold, digest, upstream) ||
         find_pending(c, r->death) ||
-        g_queue_get_length(&c->pending) >= MAX_PENDING) {
+        g_queue_get_length(&c->pending) >= MAX_PENDING_DEATHS) {
         rec_free(r);
         return;
     }
     bg_count("router_upstream_deaths_total", 1);
-    bg_log(BG_WARN, "quarantine", "Upstream %s died under a request.",
-           upstream);
-    Pending *p = g_new0(Pending, 1);
+    bg_log(BG_WARN, "quarantine",
+           "Upstream %s died while it processed a request.", upstream);
+    PendingDeath *p = g_new0(PendingDeath, 1);
     p->record = r;
     p->append_at_ms = now_ms + c->params.resend_ms;
     g_queue_push_tail(&c->pending, p);
@@ -176,20 +178,20 @@
     if (!boot) {
         return;
     }
-    Broken *b = g_new0(Broken, 1);
+    BrokenCall *b = g_new0(BrokenCall, 1);
     memcpy(b->digest, digest, 32);
     b->upstream = g_strdup(upstream);
     b->boot = g_strdup(boot);
     b->until_ms = now_ms + BOOT_WAIT_MS;
     g_queue_push_tail(&c->broken, b);
-    if (g_queue_get_length(&c->broken) > MAX_BROKEN) {
+    if (g_queue_get_length(&c->broken) > MAX_BROKEN_CALLS) {
         free_broken(g_queue_pop_head(&c->broken));
     }
 }
 
 void
-qr_on_alone(QrCore *c, uint64_t wall_ms, const uint8_t digest[32],
-            const char *upstream)
+qr_on_suspect_answered(QrCore *c, uint64_t wall_ms, const uint8_t digest[32],
+                       const char *upstream)
 {
     c->out.append(c->out.ctx, make_record(c, wall_ms, digest, upstream, true));
 }
@@ -204,7 +206,7 @@
     g_hash_table_replace(c->boots, g_strdup(upstream), g_strdup(boot));
     GList *at = c->broken.head;
     while (at) {
-        Broken *b = at->data;
+        BrokenCall *b = at->data;
         GList *next = at->next;
         if (strcmp(b->upstream, upstream) == 0 && strcmp(b->boot, boot) != 0) {
             add_death(c, now_ms, wall_ms, b->digest, upstream);
@@ -229,11 +231,11 @@
 qr_on_tick(QrCore *c, uint64_t now_ms)
 {
     while (c->broken.head &&
-           ((Broken *)c->broken.head->data)->until_ms <= now_ms) {
+           ((BrokenCall *)c->broken.head->data)->until_ms <= now_ms) {
         free_broken(g_queue_pop_head(&c->broken));
     }
     for (GList *at = c->pending.head; at; at = at->next) {
-        Pending *p = at->data;
+        PendingDeath *p = at->data;
         if (now_ms >= p->append_at_ms) {
             p->append_at_ms = now_ms + c->params.resend_ms;
             c->out.append(c->out.ctx, rec_copy(p->record));
--- a/src/qr.h
+++ b/src/qr.h
@@ -1,12 +1,15 @@
-/* qr: quarantine of requests that upstreams die of.
+/* qr: quarantine of requests that crash upstreams.
+
+   An upstream counts as crashed by a request if its connection broke after
+   bytes were sent, and then either its process refused a new connection or a
+   restart of it (another boot) was reported within BOOT_WAIT_MS.  A timeout
+   does not count.  Each request in flight at a crash gets a death record in
+   the log, since any of them may be the cause.  So one death only makes a
+   request suspected: it then runs alone on an upstream, and an answer clears
+   it.  Deaths of two distinct upstreams put it into quarantine: it is refused.
 
    A state machine without threads, I/O or clock, owned by a router's core
-   thread.  An upstream died under a request when its connection broke after
-   bytes were sent and the process then refused a fresh connection, or
-   another boot of it was reported within BOOT_WAIT_MS.  A timeout is no
-   death.  Everything in flight at a death is a candidate and gets a record,
-   so one death makes a suspect only: suspects run alone, and one that is
-   answered is cleared.  Deaths of two distinct upstreams quarantine. */
+   thread. */
 #ifndef QR_H
 #define QR_H
 
@@ -18,12 +21,12 @@
 
 typedef struct {
     const char *author; /* name of this VM */
-    uint32_t resend_ms; /* a record not yet seen is appended again */
+    uint32_t resend_ms; /* append again unless seen in the log by then */
 } QrParams;
 
 typedef struct {
     void *ctx;
-    /* Queue R for the log and take it; false when there is no room. */
+    /* Queues R for the log and takes it; false when the queue is full. */
     bool (*append)(void *ctx, Bg__Record *r);
 } QrOutput;
 
@@ -33,21 +36,21 @@
                   const Fold *fold);
 void qr_destroy(QrCore *c);
 
-/* What is known of the request, in the log or here. */
-QrVerdict qr_judge(const QrCore *c, const uint8_t digest[32]);
+/* Counts deaths that are in the log and those that wait to be appended. */
+QrVerdict qr_get_verdict(const QrCore *c, const uint8_t digest[32]);
 
 /* The connection broke after bytes were sent.  REFUSED: the process then
-   refused a fresh connection. */
+   refused a new connection. */
 void qr_on_broken(QrCore *c, uint64_t now_ms, uint64_t wall_ms,
                   const uint8_t digest[32], const char *upstream,
                   bool refused);
-/* A suspect that ran alone was answered. */
-void qr_on_alone(QrCore *c, uint64_t wall_ms, const uint8_t digest[32],
-                 const char *upstream);
-/* UPSTREAM's process is now the one named BOOT. */
+/* A suspected request that ran alone was answered: record it as cleared. */
+void qr_on_suspect_answered(QrCore *c, uint64_t wall_ms,
+                            const uint8_t digest[32], const char *upstream);
+/* UPSTREAM reported BOOT, the id of its process since the last start. */
 void qr_on_boot(QrCore *c, uint64_t now_ms, uint64_t wall_ms,
                 const char *upstream, const char *boot);
-/* The fold has applied R; to be called for every death record. */
+/* To be called for every death record that the fold has applied. */
 void qr_on_record(QrCore *c, const Bg__DeathRecord *r);
 void qr_on_tick(QrCore *c, uint64_t now_ms);
 
