--- a/src/desk.c
+++ b/src/desk.c
@@ -319,7 +319,8 @@
 {
     Ticket t = {.decision = DECIDED_FINISH};
     const Waiting *w = g_hash_table_lookup(d->tickets, &id);
-    t.quarantined = w && qr_judge(d->quarantine, w->digest) == QR_QUARANTINED;
+    t.quarantined =
+        w && qr_get_verdict(d->quarantine, w->digest) == QR_QUARANTINED;
     decide(d, id, &t);
 }
 
@@ -356,7 +357,7 @@
 static void
 route_request(Desk *d, RtCore *core, uint64_t now_ms, DeskEvent *e)
 {
-    QrVerdict verdict = qr_judge(d->quarantine, e->digest);
+    QrVerdict verdict = qr_get_verdict(d->quarantine, e->digest);
     if (verdict == QR_QUARANTINED) {
         once_on_refused(d->once, now_ms, bg_wall_ms(), e->id);
         desk_on_refuse(d, e->id, RT_REFUSED_QUARANTINE, 0);
@@ -393,7 +394,7 @@
 void
 desk_on_death(Desk *d, RtCore *core, const uint8_t digest[32])
 {
-    QrVerdict verdict = qr_judge(d->quarantine, digest);
+    QrVerdict verdict = qr_get_verdict(d->quarantine, digest);
     g_autoptr(GArray) ids = g_array_new(FALSE, FALSE, sizeof(uint64_t));
     GHashTableIter it;
     gpointer id;
@@ -438,7 +439,7 @@
                      e->end.died);
     }
     if (e->end.done == RT_DONE_OK && w->suspect) {
-        qr_on_alone(d->quarantine, wall_ms, w->digest, e->upstream);
+        qr_on_suspect_answered(d->quarantine, wall_ms, w->digest, e->upstream);
     }
 }
 
--- a/src/fold.c
+++ b/src/fold.c
@@ -708,7 +708,7 @@
 static void
 remove_old_deaths(Fold *f)
 {
-    uint64_t now_ms = keys_get_time(f->keys);
+    uint64_t now_ms = keys_get_log_time_ms(f->keys);
     while (f->death_order.head) {
         Deaths *d = g_hash_table_lookup(f->deaths, f->death_order.head->data);
         bool old = now_ms > d->born_ms + DEATH_LIFE_MS;
@@ -775,7 +775,7 @@
         return clear_deaths(f, r, why);
     }
     Deaths *d = fold_make_deaths(f, r->request_digest.data,
-                                 keys_get_birth(f->keys, r->wall_ms));
+                                 keys_get_born_ms(f->keys, r->wall_ms));
     if (g_ptr_array_find_with_equal_func(d->upstreams, r->upstream,
                                          g_str_equal, NULL)) {
         return lose(why, "already counted");
@@ -788,7 +788,7 @@
 fold_count_deaths(const Fold *f, const uint8_t digest[32])
 {
     const Deaths *d = find_deaths(f, digest);
-    if (!d || keys_get_time(f->keys) > d->born_ms + DEATH_LIFE_MS) {
+    if (!d || keys_get_log_time_ms(f->keys) > d->born_ms + DEATH_LIFE_MS) {
         return 0;
     }
     return d->upstreams->len;
--- a/src/fold_int.h
+++ b/src/fold_int.h
@@ -17,7 +17,7 @@
 typedef struct {
     uint8_t digest[32];
     GPtrArray *upstreams; /* distinct names */
-    uint64_t born_ms;     /* of the first, see keys_get_birth */
+    uint64_t born_ms;     /* of the first, see keys_get_born_ms */
     GList *link;          /* in death_order */
 } Deaths;
 
--- a/src/once.c
+++ b/src/once.c
@@ -159,7 +159,7 @@
     k->status = result->status;
     k->content_type =
         g_strdup(result->content_type ? result->content_type : "text/plain");
-    k->answer_dropped = result->body_len > KEYS_MAX_BODY;
+    k->answer_dropped = result->body_len > KEYS_MAX_BODY_BYTES;
     if (!k->answer_dropped && result->body_len > 0) {
         k->body.data = g_memdup2(result->body, result->body_len);
         k->body.len = result->body_len;
--- a/src/req.c
+++ b/src/req.c
@@ -754,7 +754,7 @@
     e->result.status = (uint32_t)a->res.status;
     e->result.content_type = e->content_type;
     e->result.body_len = body->len;
-    if (body->len <= KEYS_MAX_BODY) {
+    if (body->len <= KEYS_MAX_BODY_BYTES) {
         e->body = g_bytes_new(body->str, body->len);
         e->result.body = g_bytes_get_data(e->body, NULL);
     }
