--- a/tests/configs.py
+++ b/tests/configs.py
@@ -1,4 +1,5 @@
-"""Small templates, and looks into the log, for tests of configuration."""
+"""Helpers for tests of the configuration: writes and publishes small
+templates, and decodes entries of the log."""
 
 import base64
 import hashlib
@@ -8,7 +9,8 @@
 
 def write_template(folder, name, priority=5, adapters=0, workspaces=1,
                    padding=0):
-    """Template and values files; returns their paths."""
+    """Writes a template and its values files; returns their paths.  padding:
+    count of comment lines of 1000 bytes, to make the template large."""
     lines = ["[template]", "name = " + name, "[upstreams %s-u]" % name,
              "kind = engine", "[model %s-m]" % name,
              "upstreams = %s-u" % name, "memory_mb = 10"]
@@ -74,7 +76,7 @@
 
 
 def log_kinds(cluster):
-    """(offset, kinds of its records) of every entry the log keeps."""
+    """(offset, kinds of its records) of every batch in the log."""
     first = cluster.call("log", "GET", "/test/state").json()["first"]
     page = cluster.call(
         "log", "GET", "/v1/records?from=%d&max=100000" % first).json()
@@ -82,7 +84,7 @@
     for r in page["records"]:
         data = base64.b64decode(r["data"])
         if data[:1] != b"\x08":
-            continue  # no batch
+            continue  # not a batch
         payload = dict(_fields(data))[4]
         out.append((r["offset"], [KINDS.get(n) for _, rec in _fields(payload)
                                   for n, _ in _fields(rec)]))
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,5 @@
-"""The operators' client: what it says is true, and nothing is lost."""
+"""bglade, the operators' client: its messages and exit codes match what
+happened, and no change of another operator is overwritten."""
 
 import json
 import os
@@ -26,9 +27,9 @@
 
 
 def test_conflict_shows_who_changed_what(cluster):
-    """Two operators start from one version.  The second is told who was
-    first and what they changed, line by line; nothing of the first's work is
-    lost, and the second's files are theirs still."""
+    """Two operators revise the same version.  The second one gets a
+    conflict, with the author and the diff of the first one's change, which
+    stays in force."""
     base = publish(cluster, "shared", priority=3)
     paths = write_template(cluster.dir, "shared", priority=4)
     first = accepted(cluster.bglade("revise", "--base", base, "--author",
@@ -72,8 +73,8 @@
 
 
 def test_status_from_any_process(cluster):
-    """Whatever process is asked, a router or a placer of any data centre,
-    the answer covers every process of both data centres."""
+    """A router and a placer, of different data centres, each list every
+    process of both data centres."""
     version = publish(cluster, "everywhere")
     names = {"%s" % d for d in cluster.daemons()}
     for name in ("dc1-vm1-router", "dc2-vm2-placer"):
@@ -82,15 +83,15 @@
         doc = json.loads(res.stdout)
         assert doc["wanted_version"] == version
         assert doc["in_force_everywhere"] is True
-        heard = {n["node"].rsplit("-", 1)[0] for n in doc["nodes"]}
-        assert heard == names
+        listed = {n["node"].rsplit("-", 1)[0] for n in doc["nodes"]}
+        assert listed == names
         assert all(n["config_version"] == version and n["age_ms"] < 6000
                    for n in doc["nodes"])
 
 
-def test_status_wait_tells_who_is_behind(cluster):
-    """Nothing can have a version that does not exist: the wait ends, fails,
-    and names those that lack it."""
+def test_status_wait_lists_processes_that_are_behind(cluster):
+    """status waits for a version that does not exist: it fails after the
+    timeout and marks every process as behind."""
     at = "127.0.0.1:%d" % cluster.port("dc1-vm1-router")
     res = cluster.bglade("--at", at, "--wait", 1, "--to", 10 ** 9, "status",
                          check=False)
@@ -100,9 +101,9 @@
 
 
 def test_two_operators_race(cluster):
-    """Rounds of two operators who revise one version at the same moment.
-    In each exactly one wins, the other is told, and the text in force is
-    the winner's."""
+    """Two operators revise one version at the same moment, again and again.
+    Each time exactly one is accepted, the other gets a conflict that names
+    the winner, and the winner's text is in force."""
     base = publish(cluster, "raced", priority=0)
     ready = threading.Barrier(2)
 
@@ -120,11 +121,11 @@
             sides.append((author, write_template(
                 folder, "raced", priority=(2 * i + k) % 10)))
         with ThreadPoolExecutor(2) as pool:
-            ends = list(pool.map(lambda s: run(*s), sides))
-        codes = sorted(r.returncode for _, r in ends)
-        assert codes == [0, 3], [r.stderr for _, r in ends]
-        winner = [e for e in ends if e[1].returncode == 0][0]
-        loser = [e for e in ends if e[1].returncode == 3][0]
+            results = list(pool.map(lambda s: run(*s), sides))
+        codes = sorted(r.returncode for _, r in results)
+        assert codes == [0, 3], [r.stderr for _, r in results]
+        winner = [e for e in results if e[1].returncode == 0][0]
+        loser = [e for e in results if e[1].returncode == 3][0]
         assert "%s" % winner[0] in loser[1].stdout
         shown = json.loads(cluster.bglade("--json", "show", "raced").stdout)
         assert shown[0]["author"] == winner[0]
@@ -132,20 +133,20 @@
     assert base > 20
 
 
-def test_lost_acknowledgement_is_settled(cluster):
-    """The append takes effect, its acknowledgement is lost.  The client
-    reads the log until it sees its own batch: the operator hears "accepted",
-    once, and one version was made."""
+def test_lost_acknowledgement(cluster):
+    """The append takes effect but its acknowledgement is lost.  The client
+    reads the log until it finds its batch, reports it as accepted, and only
+    one version exists."""
     cluster.set_faults("log", drop_acks=1)
-    version = publish(cluster, "unheard")
+    version = publish(cluster, "unacked")
     assert cluster.set_faults("log")["drop_acks"] == 0
-    doc = json.loads(cluster.bglade("--json", "history", "unheard").stdout)
+    doc = json.loads(cluster.bglade("--json", "history", "unacked").stdout)
     assert [v["version"] for v in doc] == [version]
 
 
-def test_publish_while_the_log_is_down_fails_surely(cluster):
-    """Every attempt is turned away before it does anything: exit 1, and it
-    is true, nothing takes effect later either."""
+def test_publish_while_the_log_is_down(cluster):
+    """The log refuses every append.  The client reports a failure (exit 1),
+    and the template does not appear later either."""
     paths = write_template(cluster.dir, "never")
     cluster.set_faults("log", down=True)
     res = cluster.bglade("publish", "--settle", 4, *paths, check=False)
@@ -154,10 +155,10 @@
     assert cluster.bglade("show", "never", check=False).returncode == 2
 
 
-def test_publish_into_an_outage_is_not_known(build):
-    """The append reached the service, then everything went silent: it may
-    have taken effect.  The client says so, exit 4, and the record is in
-    force when the log is back.  Saying "failed" would be a lie."""
+def test_publish_without_acknowledgement_in_an_outage(build):
+    """The append takes effect, its acknowledgement is lost, and then the log
+    is down.  The client must not report a failure but that the result is not
+    known (exit 4): the template exists when the log is back."""
     with Cluster(build, centres=("dc1",), vms_per_centre=1, engines=[],
                  services=[]) as c:
         # The claim must be over, so that the publish is the next append.
@@ -220,7 +221,7 @@
 "route":"s","workspace":"w"}
 """
 
-LOSSES_TOLD = """\
+LOSSES_OUTPUT = """\
 no order for 4000 ms until 5000
 route r: 4 requests
         1  in time
@@ -241,18 +242,18 @@
 
 
 def test_losses(build, tmp_path):
-    """Logs of two VMs: a cold model's only load came after a span without any
-    order, a stream paused too long, one caller was refused."""
+    """Logs of two VMs: a model was loaded only after a period without orders,
+    a stream paused too long, a request was refused, one was limited."""
     log = tmp_path / "log"
     log.write_text(LOSSES_LOG)
     res = subprocess.run([os.path.join(build, "bglade"), "losses", str(log)],
                          capture_output=True, text=True, timeout=10,
                          check=False)
     assert res.returncode == 0
-    # A histogram's value is within an eighth of what was added.
+    # Values of a histogram are at most an eighth too high.
     waits = [int(w) for w in re.findall(r"(\d+) ms[,;]", res.stdout)]
     assert all(3500 <= w <= 3500 * 9 // 8 for w in waits), res.stdout
-    assert res.stdout == LOSSES_TOLD % tuple(waits)
+    assert res.stdout == LOSSES_OUTPUT % tuple(waits)
     res = subprocess.run([os.path.join(build, "bglade"), "losses",
                           str(tmp_path / "none")], capture_output=True,
                          text=True, timeout=10, check=False)
@@ -276,7 +277,8 @@
 
 
 def test_timeline(build, tmp_path):
-    """A row tells its two seconds, rows without events stand as well."""
+    """Each row counts the events of two seconds; rows without events are
+    printed too."""
     log = tmp_path / "log"
     log.write_text(TIMELINE_LOG)
     res = subprocess.run([os.path.join(build, "bglade"), "timeline", str(log)],
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,5 +1,6 @@
-"""An accepted configuration is in force everywhere within seconds and never
-reverts, whatever is cut off, restarted or lost on the way."""
+"""An accepted configuration is in force in every process within seconds and
+is never replaced by an older one, during partitions, restarts and outages of
+the log."""
 
 import http.client
 import threading
@@ -14,16 +15,15 @@
 
 
 class Watcher:
-    """Looks at every daemon again and again; notes any step back of the
-    version in force, or an answer of "no configuration" where there was
-    one."""
+    """Polls every daemon.  Records an error if the version in force
+    decreases, or if a ready daemon that had a configuration has none."""
 
     def __init__(self, cluster):
         self.cluster = cluster
         self.highest = {}
         self.faults = []
-        self.looks = 0
-        self.ended = False  # by being stopped, not by an error
+        self.polls = 0
+        self.completed = False  # the thread was stopped, not ended by an error
         self.stopping = threading.Event()
         self.thread = threading.Thread(target=self.run)
 
@@ -33,15 +33,15 @@
                 try:
                     dump = self.cluster.dump(name)
                 except (OSError, ValueError, http.client.HTTPException):
-                    continue  # it is starting, or was killed in its answer
-                self.look(name, dump["config_version"], dump["ready"])
-        self.ended = True
+                    continue  # it is starting, or was killed meanwhile
+                self.check(name, dump["config_version"], dump["ready"])
+        self.completed = True
 
-    def look(self, name, version, ready):
-        self.looks += 1
+    def check(self, name, version, ready):
+        self.polls += 1
         top = self.highest.get(name, 0)
-        # A process that is not ready refuses all calls; what it holds by
-        # then is in force nowhere.
+        # A process that is not ready refuses all calls, so it may start
+        # without a configuration.
         if version < top and (ready or version > 0):
             self.faults.append((name, top, version))
         self.highest[name] = max(version, top)
@@ -54,7 +54,7 @@
         self.stopping.set()
         self.thread.join()
         if args[0] is None:
-            assert self.ended and self.looks > 0 and self.faults == []
+            assert self.completed and self.polls > 0 and self.faults == []
 
 
 def make(build, centres=("dc1", "dc2"), vms=2, cut=(), **kinds):
@@ -78,10 +78,9 @@
                                    {"one_way": "down"}],
                          ids=["cut", "frozen", "one-way"])
 def test_centre_cut_off_from_the_log(build, fault):
-    """A data centre can't reach the log, though its neighbour can.  Left to
-    itself it would keep the old configuration for as long as the cut lasts;
-    it gets the entries over a bridge instead, within seconds, and reads the
-    log itself again when the cut is over."""
+    """One data centre can't reach the log, the other one can.  It must get
+    the entries from there over a bridge within seconds, instead of keeping
+    the old configuration, and read the log itself again afterwards."""
     with make(build, cut=("dc2",)) as c:
         version = publish(c, "t")
         c.wait_in_force(version)
@@ -97,10 +96,10 @@
                    "a reader in dc2")
 
 
-def test_never_reverts_when_all_vms_are_replaced_in_an_outage(build):
-    """The log is down.  One VM after another is replaced by an empty one
-    until none of the first is left.  Each new one takes the state from those
-    before it: the last accepted version stays in force, none goes back."""
+def test_all_vms_are_replaced_while_the_log_is_down(build):
+    """The log is down, and every VM in turn is replaced by an empty one.
+    Each new VM gets the state from the running ones: the last accepted
+    version stays in force everywhere."""
     with make(build) as c:
         version = publish(c, "t")
         version = revise(c, "t", version, priority=9)
@@ -118,15 +117,15 @@
 
 
 def test_starting_vm_never_serves_an_old_version(build):
-    """A VM starts while the log has many versions behind it.  As it reads
-    them one by one, an old version must not come in force for a moment: a
-    caller would see the configuration go back."""
+    """A VM starts when the log holds many versions and reads them page by
+    page.  No old version may come into force meanwhile: callers would see an
+    older configuration."""
     with make(build, centres=("dc1",)) as c:
         version = publish(c, "t")
         for i in range(40):
             version = revise(c, "t", version, priority=i % 9)
-        # Accepted is not yet in force everywhere, and the watcher takes any
-        # lower version from now on for a step back.
+        # An accepted version is not in force everywhere at once, and the
+        # watcher treats any lower version from now on as an error.
         c.wait_in_force(version)
         c.set_faults("log", slow_ms=20, page=5)
         with Watcher(c) as w:
@@ -140,10 +139,10 @@
         assert log[start:].count("is in force") == 1
 
 
-def test_in_force_with_readers_dying(build):
+def test_readers_of_the_log_are_killed(build):
     """The placers that read the log for a data centre are killed right after
-    a revision is accepted.  Whoever was fed by them falls back to others, or
-    to the log itself, within its bound."""
+    a revision is accepted.  Processes that got entries from them must switch
+    to other sources, or to the log, in time for the usual bound."""
     with make(build, vms=3) as c:
         version = publish(c, "t")
         c.wait_in_force(version)
