--- a/src/cli_process.c
+++ b/src/cli_process.c
@@ -42,8 +42,7 @@
     return res->end == HC_DONE && res->status == 200;
 }
 
-/* The only argument of the command, an address; NULL after an error message.
- */
+/* The command's only argument, an address; NULL after an error message. */
 static const char *
 get_address(const CliArguments *a)
 {
