--- a/src/cfg.c
+++ b/src/cfg.c
@@ -114,7 +114,7 @@
     while ((open = strstr(at, "${"))) {
         const char *end = strchr(open, '}');
         if (!end) {
-            add_fault(rd, sec, "%s: ${ without }", key);
+            add_fault(rd, sec, "%s: ${ without closing }", key);
             break;
         }
         g_string_append_len(out, at, open - at);
@@ -424,7 +424,7 @@
         read_section(rd, kf, "workspace", "workspace", values_rules);
     const char *name = g_hash_table_lookup(head, "name");
     if (strcmp(g_hash_table_lookup(head, "template"), tpl_name) != 0) {
-        add_fault(rd, "workspace", "template: is not '%s'", tpl_name);
+        add_fault(rd, "workspace", "template: must be '%s'", tpl_name);
     }
     Reader wrd = {*name ? name : rd->where, rd->faults, NULL};
     wrd.params = collect_parameters(&wrd, tpl, kf);
@@ -476,7 +476,7 @@
     g_autoptr(GHashTable) head =
         read_section(&rd, kf, "template", "template", template_rules);
     if (strcmp(g_hash_table_lookup(head, "name"), src->name) != 0) {
-        add_fault(&rd, "template", "name: is not '%s'", src->name);
+        add_fault(&rd, "template", "name: must be '%s'", src->name);
     }
     Target t = {set, src->name, get_uint(head, "cold_second_cost"),
                 get_uint(head, "idle_hour_cost")};
