--- a/src/desk.c
+++ b/src/desk.c
@@ -417,11 +417,11 @@
 note_done(Desk *d, RtCore *core, uint64_t now_ms, const DeskEvent *e)
 {
     uint64_t wall_ms = bg_wall_ms();
-    if (e->end.done == RT_DONE_OK) {
+    if (e->end.done == RT_OUTCOME_OK) {
         once_on_answered(d->once, now_ms, wall_ms, e->id, &e->result);
     }
-    else if (e->end.done == RT_DONE_NOT_SENT ||
-             e->end.done == RT_DONE_TURNED_AWAY) {
+    else if (e->end.done == RT_OUTCOME_NOT_SENT ||
+             e->end.done == RT_OUTCOME_REJECTED) {
         once_on_unsent(d->once, e->id);
     }
     else {
@@ -437,7 +437,7 @@
         qr_on_broken(d->quarantine, now_ms, wall_ms, w->digest, e->upstream,
                      e->end.died);
     }
-    if (e->end.done == RT_DONE_OK && w->suspect) {
+    if (e->end.done == RT_OUTCOME_OK && w->suspect) {
         qr_on_alone(d->quarantine, wall_ms, w->digest, e->upstream);
     }
 }
@@ -479,7 +479,7 @@
 end_attempt(Desk *d, RtCore *core, uint64_t now_ms, const DeskEvent *e)
 {
     note_done(d, core, now_ms, e);
-    if (e->end.done == RT_DONE_OK || e->end.done == RT_DONE_CANCELLED) {
+    if (e->end.done == RT_OUTCOME_OK || e->end.done == RT_OUTCOME_CANCELLED) {
         g_hash_table_remove(d->tickets, &e->id);
         give_hold(d, e->id, e->used);
     }
--- a/src/desk.h
+++ b/src/desk.h
@@ -63,7 +63,7 @@
     Ticket *ticket;    /* ARRIVE; lives on the request thread's stack */
     RtRequest request; /* ARRIVE; text is borrowed from that thread, which
                           waits for the decision and so outlives it */
-    RtEnd end;         /* DONE */
+    RtResult end;      /* DONE */
     uint32_t used;     /* DONE: tokens made */
 
     uint8_t digest[32]; /* ARRIVE: of the whole request */
--- a/src/main_router.c
+++ b/src/main_router.c
@@ -351,8 +351,8 @@
         rt_on_residency(r->core, now_ms, frame->residency);
         break;
     case BG__FRAME__BODY_WANT_REFUSED:
-        rt_on_want_refused(r->core, now_ms, frame->want_refused->model,
-                           frame->want_refused->retry_after_ms);
+        rt_on_demand_refused(r->core, now_ms, frame->want_refused->model,
+                             frame->want_refused->retry_after_ms);
         break;
     case BG__FRAME__BODY_LIMIT_ASK:
         lim_on_ask(r->lim, now_ms, from->node, frame->limit_ask);
@@ -361,8 +361,8 @@
         lim_on_loan(r->lim, now_ms, from->node, frame->limit_loan);
         break;
     case BG__FRAME__BODY_UPSTREAM_LEFT:
-        rt_on_left(r->core, now_ms, frame->upstream_left->upstream,
-                   frame->upstream_left->address);
+        rt_on_leaving(r->core, now_ms, frame->upstream_left->upstream,
+                      frame->upstream_left->address);
         break;
     default:
         break;
--- a/src/req.c
+++ b/src/req.c
@@ -477,7 +477,7 @@
 
 typedef struct {
     HcResult res;
-    RtEnd end;
+    RtResult end;
     const char *upstream;
     bool broken_open; /* the connection broke with bytes out: no timeout */
 } Attempt;
@@ -555,22 +555,22 @@
     return !q->model || res->status != 200 || is_whole_json(q, res);
 }
 
-static RtDone
+static RtOutcome
 classify(Req *q, const HcResult *res)
 {
     if (q->client_gone) {
-        return RT_DONE_CANCELLED;
+        return RT_OUTCOME_CANCELLED;
     }
     if (res->end == HC_NOT_SENT) {
-        return RT_DONE_NOT_SENT;
+        return RT_OUTCOME_NOT_SENT;
     }
     if (res->end != HC_DONE && !(q->stream && q->saw_end)) {
-        return RT_DONE_BROKEN;
+        return RT_OUTCOME_BROKEN;
     }
     if (is_turned_away(res)) {
-        return RT_DONE_TURNED_AWAY;
+        return RT_OUTCOME_REJECTED;
     }
-    return is_whole(q, res) ? RT_DONE_OK : RT_DONE_BROKEN;
+    return is_whole(q, res) ? RT_OUTCOME_OK : RT_OUTCOME_BROKEN;
 }
 
 static bool
@@ -677,7 +677,7 @@
     if (a->res.end == HC_TIMEOUT && !a->end.late) {
         desk_note_silence(q->desk, t->address);
     }
-    if (a->end.done == RT_DONE_BROKEN) {
+    if (a->end.done == RT_OUTCOME_BROKEN) {
         bg_count("router_broken_attempts_total", 1);
         bg_log(BG_WARN, "req", "Request %s broke at %s: %s, status %ld%s.",
                q->caller_id, t->upstream, hc_end_name(a->res.end),
@@ -690,7 +690,7 @@
 {
     a->upstream = t->upstream;
     if (is_too_late(q)) {
-        a->end.done = RT_DONE_TURNED_AWAY;
+        a->end.done = RT_OUTCOME_REJECTED;
         return;
     }
     const CallLimits *l = desk_get_limits(q->desk);
@@ -735,7 +735,7 @@
     hc_call(c, &req, &a->res);
     free(resuming);
     judge_attempt(q, t, a);
-    if (a->res.end == HC_BROKEN && a->end.done == RT_DONE_BROKEN) {
+    if (a->res.end == HC_BROKEN && a->end.done == RT_OUTCOME_BROKEN) {
         a->broken_open = true;
         a->end.died = is_refused(q->desk, c, t->address);
     }
@@ -746,7 +746,7 @@
 static void
 fill_result(const Req *q, const Attempt *a, DeskEvent *e)
 {
-    if (!q->key || a->end.done != RT_DONE_OK) {
+    if (!q->key || a->end.done != RT_OUTCOME_OK) {
         return;
     }
     const GString *body = a->res.body;
@@ -897,10 +897,10 @@
     /* The result goes towards the log before the caller has it. */
     post_done(q, &a);
     bool over = true;
-    if (a.end.done == RT_DONE_OK) {
+    if (a.end.done == RT_OUTCOME_OK) {
         *status = send_answer(q, &a.res);
     }
-    else if (a.end.done == RT_DONE_CANCELLED) {
+    else if (a.end.done == RT_OUTCOME_CANCELLED) {
         bg_count("router_cancelled_total", 1);
         *status = STATUS_CALLER_GONE;
     }
--- a/src/rt.c
+++ b/src/rt.c
@@ -6,54 +6,54 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define GHOST_WANT_MS 5000
+#define UNMET_DEMAND_MS 5000
 #define MIN_RETRY_AFTER_MS 1000
 #define RETRY_COST 100       /* hundredths of a request */
-#define RETRY_CREDIT_MAX 100 /* retries that may be saved up */
-#define RETRY_JITTER_MS 10   /* doubles with each sending */
-#define SAME_UPSTREAM_MS 200
+#define RETRY_CREDIT_MAX 100 /* retries that can accumulate */
+#define RETRY_JITTER_MS 10   /* doubles with each attempt */
+#define AVOID_TRIED_MS 200
 #define MAX_BACKOFF_STEPS 5
 #define NO_UPSTREAM_WAIT_MS 1000
 #define EWMA_WEIGHT 4 /* a new sample counts for a quarter */
-#define USED_LATELY_MS 1000
-#define MAX_DEATHS 2 /* of upstreams under one request */
+#define RECENT_USE_MS 1000
+#define MAX_DEATHS 2 /* of upstreams that ran one request */
 
 typedef struct Target Target;
 
 typedef struct {
     RtRequest r; /* text members are owned */
     Target *target;
-    FqNode node;       /* in target->queue before its first sending */
+    FqNode node;       /* in target->queue before its first attempt */
     GList *retry_link; /* in target->retrying afterwards */
-    Up *at;            /* where it runs, or NULL while it waits */
+    Up *at;            /* the upstream that runs it, or NULL while queued */
     GPtrArray *tried;  /* upstream ids, owned */
-    uint32_t sends;    /* that reached an upstream */
+    uint32_t sends;    /* attempts that reached an upstream */
     bool may_have_run; /* then it is never refused as not run */
-    uint32_t deaths;   /* upstreams that ended under it here */
+    uint32_t deaths;   /* upstreams that died while running it */
     uint64_t arrived_ms;
     uint64_t sent_ms;
-    uint64_t not_before_ms; /* jitter of a retry */
-    uint64_t same_after_ms; /* before that not to an upstream tried */
-    uint64_t latest_ms;     /* a later start can't meet the deadline */
+    uint64_t not_before_ms;        /* of a retry: backoff with jitter */
+    uint64_t avoid_tried_until_ms; /* until then only untried upstreams */
+    uint64_t latest_start_ms;      /* a later start would miss the deadline */
 } Request;
 
-/* What requests wait for: a model, or a service's upstreams. */
+/* What requests are queued for: a model, or the upstreams of a service. */
 struct Target {
     char *name;
     bool service;
     char *deployment;
     char *base;
-    Fq *queue;       /* Request; any of them can use the same upstreams */
-    GQueue retrying; /* Request; each with upstreams to avoid */
-    GList *active;   /* in core->active while anything waits */
+    Fq *queue;       /* Request; all can use the same upstreams */
+    GQueue retrying; /* Request; each with its own upstreams to avoid */
+    GList *active;   /* in core->active while requests are queued */
     uint32_t inflight;
-    uint32_t load_ms;       /* measured, at first the template's */
-    uint32_t run_ms;        /* one call, measured; 0: not yet */
-    uint32_t run_spread_ms; /* its mean deviation */
-    uint32_t run_cost;      /* mean cost of those measured */
-    uint64_t cold_since_ms; /* wanted and not loaded; 0: no */
+    uint32_t load_ms;          /* moving average, initially the template's */
+    uint32_t run_ms;           /* of one call, moving average; 0: none yet */
+    uint32_t run_deviation_ms; /* mean deviation from run_ms */
+    uint32_t run_cost;         /* mean cost of the measured calls */
+    uint64_t cold_since_ms;    /* in demand and not loaded; 0: no */
     uint64_t last_used_ms;
-    uint64_t ghost_until_ms; /* wanted although nobody waits any more */
+    uint64_t demand_until_ms; /* in demand without queued requests */
 };
 
 struct RtCore {
@@ -63,7 +63,7 @@
     UpSet *ups;
     GHashTable *requests; /* id -> Request */
     GHashTable *targets;  /* name -> Target */
-    GQueue active;        /* Target, served in turn */
+    GQueue active;        /* Target, served round-robin */
     uint32_t waiting[CFG_CLASSES];
     int64_t retry_credit; /* in hundredths of a request */
     bool draining;
@@ -184,7 +184,7 @@
                       EWMA_WEIGHT);
 }
 
-/* A model that was wanted has come: that took so long. */
+/* Updates the average load time once a model in demand is loaded. */
 static void
 note_loaded(RtCore *c, Target *t, uint64_t now_ms)
 {
@@ -198,25 +198,27 @@
 note_run(Target *t, uint32_t cost, uint64_t run_ms)
 {
     uint64_t old_ms = t->run_ms ? t->run_ms : run_ms;
-    uint64_t off_ms = run_ms > old_ms ? run_ms - old_ms : old_ms - run_ms;
-    t->run_spread_ms = average(t->run_spread_ms, off_ms);
+    uint64_t deviation_ms =
+        run_ms > old_ms ? run_ms - old_ms : old_ms - run_ms;
+    t->run_deviation_ms = average(t->run_deviation_ms, deviation_ms);
     t->run_ms = average((uint32_t)old_ms, run_ms);
     t->run_cost = t->run_cost ? average(t->run_cost, cost) : cost;
 }
 
-/* What a call seldom takes longer than. */
+/* A duration that calls of T seldom exceed. */
 static uint32_t
-get_long_run(const Target *t)
+get_long_run_ms(const Target *t)
 {
-    return t->run_ms + 2 * t->run_spread_ms;
+    return t->run_ms + 2 * t->run_deviation_ms;
 }
 
-/* The time of a want that was given up on would be no measure of a load. */
+/* Starts the measurement of a cold load.  It starts anew if the demand had
+   ended in between, as the load may have been given up. */
 static void
-note_cold(Target *t, uint64_t now_ms)
+start_load_timer(Target *t, uint64_t now_ms)
 {
-    bool wanted = count_waiting(t) > 0 || t->ghost_until_ms > now_ms;
-    if (!t->cold_since_ms || !wanted) {
+    bool in_demand = count_waiting(t) > 0 || t->demand_until_ms > now_ms;
+    if (!t->cold_since_ms || !in_demand) {
         t->cold_since_ms = now_ms;
     }
 }
@@ -232,7 +234,8 @@
     }
 }
 
-/* ---- waiting ------------------------------------------------------------ */
+/* ---- queueing ------------------------------------------------------------
+ */
 
 static void
 mark_active(RtCore *c, Target *t)
@@ -295,7 +298,8 @@
     g_hash_table_remove(c->requests, &q->r.id);
 }
 
-/* ---- final words -------------------------------------------------------- */
+/* ---- final decisions
+ * -------------------------------------------------------- */
 
 static void
 finish(RtCore *c, Request *q)
@@ -305,8 +309,8 @@
     drop_request(c, q);
 }
 
-/* "Not run" would be a lie after a sending that may have run: then the
-   request ends as unfinished, whatever stopped it. */
+/* A request that may have run must not be reported as not run: it is finished
+   instead, whatever the reason. */
 static void
 refuse(RtCore *c, Request *q, RtReason reason, uint64_t retry_after_ms)
 {
@@ -327,25 +331,25 @@
 {
     UpQuery query = make_query(q->target);
     query.affinity = q->r.affinity;
-    query.alone = q->r.suspect;
+    query.exclusive = q->r.suspect;
     if (q->tried->len == 0) {
         return up_choose(c->ups, now_ms, &query);
     }
     query.avoided = q->tried;
     Up *u = up_choose(c->ups, now_ms, &query);
-    if (u || now_ms < q->same_after_ms) {
+    if (u || now_ms < q->avoid_tried_until_ms) {
         return u;
     }
     query.avoided = NULL;
     return up_choose(c->ups, now_ms, &query);
 }
 
-/* The same for Q: one that asks for more than usual takes longer. */
+/* get_long_run_ms for Q: scaled by its cost if that is above the average. */
 static uint32_t
-get_long_run_of(const Request *q)
+get_request_long_run_ms(const Request *q)
 {
     const Target *t = q->target;
-    uint64_t long_ms = get_long_run(t);
+    uint64_t long_ms = get_long_run_ms(t);
     if (q->node.cost > t->run_cost && t->run_cost > 0) {
         long_ms = long_ms * q->node.cost / t->run_cost;
     }
@@ -361,7 +365,7 @@
     q->target->inflight++;
     up_start(u, q->r.suspect);
     c->out.send(c->out.ctx, q->r.id, up_get_id(u), up_get_address(u),
-                get_long_run_of(q));
+                get_request_long_run_ms(q));
 }
 
 static bool
@@ -385,7 +389,7 @@
     return n ? (Request *)((char *)n - offsetof(Request, node)) : NULL;
 }
 
-/* Send one that waits; false when none can be sent. */
+/* Sends one queued request; false if none can be sent now. */
 static bool
 send_next(RtCore *c, Target *t, uint64_t now_ms)
 {
@@ -400,10 +404,10 @@
     return u != NULL;
 }
 
-/* Send what can be sent.  Targets share upstreams, so each sends one in its
-   turn, and the turn goes on from where it stopped. */
+/* Sends all queued requests that can be sent now.  Targets share upstreams,
+   so they take turns of one request; the next call continues the round. */
 static void
-pump(RtCore *c, uint64_t now_ms)
+dispatch(RtCore *c, uint64_t now_ms)
 {
     uint32_t idle = 0;
     while (c->active.length > 0 && idle < c->active.length) {
@@ -418,17 +422,18 @@
 
 /* ---- estimates ---------------------------------------------------------- */
 
-/* What is left of a cold load.  One that takes longer than usual is taken
-   to need a quarter of the usual time more. */
+/* Remaining time of a cold load.  A load that takes longer than the average
+   is estimated to need another quarter of the average. */
 static uint64_t
 estimate_load(const Target *t, uint64_t now_ms)
 {
-    uint64_t gone_ms = t->cold_since_ms ? now_ms - t->cold_since_ms : 0;
-    uint64_t rest_ms = t->load_ms > gone_ms ? t->load_ms - gone_ms : 0;
-    return MAX(rest_ms, t->load_ms / 4);
+    uint64_t elapsed_ms = t->cold_since_ms ? now_ms - t->cold_since_ms : 0;
+    uint64_t remaining_ms =
+        t->load_ms > elapsed_ms ? t->load_ms - elapsed_ms : 0;
+    return MAX(remaining_ms, t->load_ms / 4);
 }
 
-/* Until a request of PRIORITY that arrives now would be sent. */
+/* Time until a request of PRIORITY that arrives now would be sent. */
 static uint64_t
 estimate_wait(const RtCore *c, const Target *t, uint32_t priority,
               uint64_t now_ms)
@@ -463,8 +468,8 @@
     return q;
 }
 
-/* A call that starts so late that it would usually not end in time is
-   given up; but half of the caller's time is always waited for. */
+/* A request is given up when a call that starts then would usually miss its
+   deadline, but not before half of its time has passed. */
 static void
 set_latest_start(const RtCore *c, Request *q)
 {
@@ -472,28 +477,29 @@
     uint64_t left_ms = q->r.deadline_ms > q->arrived_ms
                            ? q->r.deadline_ms - q->arrived_ms
                            : 0;
-    q->latest_ms = q->r.deadline_ms;
+    q->latest_start_ms = q->r.deadline_ms;
     if (c->params.early_refusal) {
-        q->latest_ms -= MIN(get_long_run(t), left_ms / 2);
+        q->latest_start_ms -= MIN(get_long_run_ms(t), left_ms / 2);
     }
     if (t->service && count_slots(c, t) == 0) {
-        q->latest_ms = MIN(q->latest_ms, q->arrived_ms + NO_UPSTREAM_WAIT_MS);
+        q->latest_start_ms =
+            MIN(q->latest_start_ms, q->arrived_ms + NO_UPSTREAM_WAIT_MS);
     }
 }
 
 static void
-make_suspect(RtCore *c, Request *q)
+mark_suspect(RtCore *c, Request *q)
 {
     q->r.suspect = true;
     if (q->node.lane) {
-        /* Out of the queue, where it would hold up those behind it until an
-           upstream is empty. */
+        /* In the queue it would block those behind it until an upstream is
+           idle. */
         dequeue(c, q, false);
         enqueue_retry(c, q);
     }
 }
 
-/* Queue Q, or refuse it at once when it can't be served in time. */
+/* Queues Q, or refuses it at once if it can't be served in time. */
 static void
 admit(RtCore *c, Request *q, uint64_t now_ms)
 {
@@ -505,21 +511,21 @@
         return;
     }
     if (cold) {
-        note_cold(t, now_ms);
+        start_load_timer(t, now_ms);
     }
     set_latest_start(c, q);
-    if (c->params.early_refusal && now_ms + wait_ms > q->latest_ms) {
+    if (c->params.early_refusal && now_ms + wait_ms > q->latest_start_ms) {
         if (cold) {
-            /* The load ends too late for this caller, not for the next:
-               the model stays wanted. */
-            t->ghost_until_ms = now_ms + MAX(GHOST_WANT_MS, 2 * wait_ms);
+            /* The load ends too late for this caller but helps later ones:
+               the demand is kept up. */
+            t->demand_until_ms = now_ms + MAX(UNMET_DEMAND_MS, 2 * wait_ms);
         }
         refuse(c, q, RT_REFUSED_DEADLINE, wait_ms);
         return;
     }
     enqueue(c, q);
     if (q->r.suspect) {
-        make_suspect(c, q);
+        mark_suspect(c, q);
     }
 }
 
@@ -531,7 +537,7 @@
     t->last_used_ms = now_ms;
     c->retry_credit = MIN(c->retry_credit + c->params.retry_percent,
                           RETRY_CREDIT_MAX * RETRY_COST);
-    /* One with a claim was inside before the stop began. */
+    /* A claimed request was accepted before draining began. */
     if (c->draining && !r->claimed) {
         refuse(c, q, RT_REFUSED_DRAINING, 0);
         return;
@@ -544,15 +550,14 @@
     bool behind_others = t->retrying.length > 0;
     admit(c, q, now_ms);
     if (behind_others) {
-        pump(c, now_ms); /* those may wait for what this one need not */
+        dispatch(c, now_ms); /* Q may use upstreams that the retries avoid */
     }
 }
 
-/* ---- ends of sendings --------------------------------------------------- */
+/* ---- results of attempts ------------------------------------------------ */
 
-/* Within the retry budget, which keeps a failing deployment from being hit
-   twice as hard by its own retries; with jitter, so that those that failed
-   together do not come back together. */
+/* Queues a retry.  The retry budget keeps retries from multiplying the load
+   on a failing deployment; jitter spreads requests that failed together. */
 static void
 try_again(RtCore *c, Request *q, uint64_t now_ms)
 {
@@ -566,77 +571,77 @@
     uint32_t tries = MIN(q->tried->len, MAX_BACKOFF_STEPS);
     q->not_before_ms =
         now_ms + bg_pick_random(&c->rng, RETRY_JITTER_MS << tries);
-    q->same_after_ms =
-        now_ms + SAME_UPSTREAM_MS +
-        bg_pick_random(&c->rng, SAME_UPSTREAM_MS << (tries - 1));
-    q->latest_ms = q->r.deadline_ms;
+    q->avoid_tried_until_ms =
+        now_ms + AVOID_TRIED_MS +
+        bg_pick_random(&c->rng, AVOID_TRIED_MS << (tries - 1));
+    q->latest_start_ms = q->r.deadline_ms;
     enqueue_retry(c, q);
 }
 
-static UpEnd
-judge_upstream(const RtEnd *end)
+static UpOutcome
+get_upstream_outcome(const RtResult *end)
 {
-    bool failed = end->done == RT_DONE_NOT_SENT || end->done == RT_DONE_BROKEN;
-    if (end->done == RT_DONE_OK) {
-        return UP_END_GOOD;
+    bool failed =
+        end->done == RT_OUTCOME_NOT_SENT || end->done == RT_OUTCOME_BROKEN;
+    if (end->done == RT_OUTCOME_OK) {
+        return UP_OUTCOME_GOOD;
     }
-    /* An open connection may have gone silent while the upstream is well;
-       only a fresh one tells. */
+    /* A pooled connection may be dead while the upstream is healthy: only a
+       failure on a new connection counts. */
     return failed && !end->silent_connection && !end->late
-               ? UP_END_FAILED
-               : UP_END_SAID_NOTHING;
+               ? UP_OUTCOME_FAILED
+               : UP_OUTCOME_NEUTRAL;
 }
 
 static void
-leave_upstream(RtCore *c, Request *q, uint64_t now_ms, const RtEnd *end)
+end_attempt(RtCore *c, Request *q, uint64_t now_ms, const RtResult *end)
 {
     Up *u = q->at;
     Target *t = q->target;
     q->at = NULL;
     t->inflight--;
     g_ptr_array_add(q->tried, g_strdup(up_get_id(u)));
-    q->sends += end->done != RT_DONE_NOT_SENT;
+    q->sends += end->done != RT_OUTCOME_NOT_SENT;
     if (end->leaving) {
-        c->out.left(c->out.ctx, up_get_id(u), up_get_address(u));
+        c->out.announce_leaving(c->out.ctx, up_get_id(u), up_get_address(u));
         up_mark_leaving(c->ups, u, now_ms);
     }
-    else if (end->done == RT_DONE_TURNED_AWAY && q->r.model) {
+    else if (end->done == RT_OUTCOME_REJECTED && q->r.model) {
         up_forget_model(c->ups, u, q->r.model);
     }
-    up_finish(c->ups, u, now_ms, judge_upstream(end));
+    up_finish(c->ups, u, now_ms, get_upstream_outcome(end));
 }
 
 void
-rt_on_done(RtCore *c, uint64_t now_ms, uint64_t id, const RtEnd *end)
+rt_on_done(RtCore *c, uint64_t now_ms, uint64_t id, const RtResult *end)
 {
     Request *q = g_hash_table_lookup(c->requests, &id);
     if (!q || !q->at) {
         return;
     }
     Target *t = q->target;
-    leave_upstream(c, q, now_ms, end);
+    end_attempt(c, q, now_ms, end);
     t->last_used_ms = now_ms;
     switch (end->done) {
-    case RT_DONE_OK:
+    case RT_OUTCOME_OK:
         note_run(t, q->node.cost, now_ms - q->sent_ms);
         drop_request(c, q);
         break;
-    case RT_DONE_CANCELLED:
+    case RT_OUTCOME_CANCELLED:
         drop_request(c, q);
         break;
-    case RT_DONE_TURNED_AWAY:
-    case RT_DONE_NOT_SENT:
+    case RT_OUTCOME_REJECTED:
+    case RT_OUTCOME_NOT_SENT:
         try_again(c, q, now_ms);
         break;
-    case RT_DONE_BROKEN:
+    case RT_OUTCOME_BROKEN:
         q->may_have_run = true;
         if (end->late) {
-            note_run(t, q->node.cost,
-                     now_ms - q->sent_ms); /* it takes no less */
+            note_run(t, q->node.cost, now_ms - q->sent_ms); /* a lower bound */
         }
-        /* Whatever runs beside a request that kills its upstream dies with
-           it and would be taken for the cause: it goes on alone, and after
-           a second death nowhere. */
+        /* Requests that ran beside the one that killed the upstream failed
+           with it and look like the cause.  So each of them is retried on an
+           upstream of its own, and not again after a second death. */
         q->deaths += end->died;
         q->r.suspect = q->r.suspect || end->died;
         if (q->r.once || q->deaths >= MAX_DEATHS) {
@@ -647,7 +652,7 @@
         }
         break;
     }
-    pump(c, now_ms);
+    dispatch(c, now_ms);
 }
 
 bool
@@ -673,7 +678,7 @@
         refuse(c, q, RT_REFUSED_QUARANTINE, 0);
     }
     else {
-        make_suspect(c, q);
+        mark_suspect(c, q);
     }
 }
 
@@ -690,7 +695,7 @@
 {
     up_on_residency(c->ups, now_ms, r);
     note_all_loaded(c, now_ms);
-    pump(c, now_ms);
+    dispatch(c, now_ms);
 }
 
 void
@@ -698,14 +703,14 @@
             const char *address, bool well)
 {
     up_on_probe(c->ups, now_ms, upstream, address, well);
-    pump(c, now_ms);
+    dispatch(c, now_ms);
 }
 
 void
-rt_on_left(RtCore *c, uint64_t now_ms, const char *upstream,
-           const char *address)
+rt_on_leaving(RtCore *c, uint64_t now_ms, const char *upstream,
+              const char *address)
 {
-    up_on_left(c->ups, now_ms, upstream, address);
+    up_on_leaving(c->ups, now_ms, upstream, address);
 }
 
 typedef struct {
@@ -719,7 +724,7 @@
 static void
 sweep_request(Sweep *s, Request *q)
 {
-    if (s->all || s->now_ms >= q->latest_ms) {
+    if (s->all || s->now_ms >= q->latest_start_ms) {
         refuse(s->core, q, s->reason, s->retry_after_ms);
     }
 }
@@ -743,8 +748,8 @@
 }
 
 void
-rt_on_want_refused(RtCore *c, uint64_t now_ms, const char *model,
-                   uint64_t retry_after_ms)
+rt_on_demand_refused(RtCore *c, uint64_t now_ms, const char *model,
+                     uint64_t retry_after_ms)
 {
     Target *t = g_hash_table_lookup(c->targets, model);
     if (t && count_slots(c, t) == 0) {
@@ -771,7 +776,7 @@
 {
     up_on_tick(c->ups, now_ms);
     refuse_late(c, now_ms);
-    pump(c, now_ms);
+    dispatch(c, now_ms);
 }
 
 void
@@ -815,7 +820,7 @@
 }
 
 static void
-add_want(Bg__Demand *d, const Target *t, uint64_t now_ms)
+add_model_demand(Bg__Demand *d, const Target *t, uint64_t now_ms)
 {
     Bg__Want *w = g_new(Bg__Want, 1);
     bg__want__init(w);
@@ -842,9 +847,9 @@
     Bg__Demand *d = g_new(Bg__Demand, 1);
     bg__demand__init(d);
     d->node = g_strdup(node);
-    guint most = g_hash_table_size(c->targets) + 1;
-    d->wants = g_new0(Bg__Want *, most);
-    d->usage = g_new0(Bg__Usage *, most);
+    guint max_rows = g_hash_table_size(c->targets) + 1;
+    d->wants = g_new0(Bg__Want *, max_rows);
+    d->usage = g_new0(Bg__Usage *, max_rows);
     GHashTableIter it;
     gpointer p;
     g_hash_table_iter_init(&it, c->targets);
@@ -853,10 +858,10 @@
         if (t->service) {
             continue;
         }
-        if (count_waiting(t) > 0 || t->ghost_until_ms > now_ms) {
-            add_want(d, t, now_ms);
+        if (count_waiting(t) > 0 || t->demand_until_ms > now_ms) {
+            add_model_demand(d, t, now_ms);
         }
-        if (t->inflight > 0 || now_ms - t->last_used_ms < USED_LATELY_MS) {
+        if (t->inflight > 0 || now_ms - t->last_used_ms < RECENT_USE_MS) {
             add_usage(d, t);
         }
     }
--- a/src/up.c
+++ b/src/up.c
@@ -4,26 +4,26 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define SHARE_FULL 16u /* of its traffic; the slow return starts at 1 */
-#define BOUND_NUM 5    /* prefix affinity: at most 5/4 of the mean load */
+#define SHARE_FULL 16u /* traffic share; slow start begins at 1 */
+#define BOUND_NUM 5    /* affinity up to 5/4 of the mean load */
 #define BOUND_DEN 4
-#define LEFT_KEEP_MS (3600u * 1000)
+#define DEPARTED_KEEP_MS (3600u * 1000)
 
 struct Up {
     char *id;
     char *deployment;
     char *data_centre;
     char *address;
-    bool leaving;       /* one-way for this id and address */
-    bool gone;          /* off the VM list */
-    bool replaced;      /* its id has a new address; not in the set any more */
-    GHashTable *loaded; /* models ready here */
-    uint32_t inflight;  /* ours; holds the object */
-    bool alone;         /* its one call suffers none beside it */
-    uint32_t others;    /* everybody else's, at the last report */
+    bool leaving;       /* never reset for this id and address */
+    bool gone;          /* no longer in the VM list */
+    bool replaced;      /* its id has a new address; no longer in the set */
+    GHashTable *loaded; /* models ready on it */
+    uint32_t inflight;  /* calls of this router; keep the object alive */
+    bool exclusive;     /* runs a call that excludes others */
+    uint32_t others_inflight; /* calls of others at the last report */
     uint64_t reported_ms;
     uint32_t failures; /* consecutive */
-    bool ejected;      /* until a probe finds it well */
+    bool ejected;      /* until a probe succeeds */
     uint64_t next_probe_ms;
     uint32_t share; /* of SHARE_FULL */
     uint64_t next_share_ms;
@@ -34,13 +34,13 @@
     UpProbe probe;
     void *ctx;
     BgRandom rng;
-    GHashTable *ups;         /* id -> Up */
-    GHashTable *holders;     /* model -> GPtrArray of Up */
-    GHashTable *deployments; /* name -> GPtrArray of Up */
-    GHashTable *centres;     /* data centre -> uint64_t newest epoch */
-    /* "id address" of those that left -> when.  A list that lags may name
-       one of them again after its id has moved on. */
-    GHashTable *left;
+    GHashTable *ups;               /* id -> Up */
+    GHashTable *ups_by_model;      /* model -> GPtrArray of Up */
+    GHashTable *ups_by_deployment; /* name -> GPtrArray of Up */
+    GHashTable *newest_epochs;     /* data centre -> uint64_t newest epoch */
+    /* "id address" of upstreams that are leaving or left -> time.  A stale
+       list may still name the old address after the id got a new one. */
+    GHashTable *departed;
 };
 
 /* ---- life --------------------------------------------------------------- */
@@ -79,13 +79,14 @@
     bg_seed_random(&s->rng, params->seed);
     s->ups =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_up_value);
-    s->holders =
+    s->ups_by_model =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_list);
-    s->deployments =
+    s->ups_by_deployment =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_list);
-    s->centres =
+    s->newest_epochs =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    s->departed =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    s->left = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return s;
 }
 
@@ -95,11 +96,11 @@
     if (!s) {
         return;
     }
-    g_hash_table_destroy(s->holders);
-    g_hash_table_destroy(s->deployments);
+    g_hash_table_destroy(s->ups_by_model);
+    g_hash_table_destroy(s->ups_by_deployment);
     g_hash_table_destroy(s->ups);
-    g_hash_table_destroy(s->centres);
-    g_hash_table_destroy(s->left);
+    g_hash_table_destroy(s->newest_epochs);
+    g_hash_table_destroy(s->departed);
     g_free((char *)s->params.data_centre);
     g_free(s);
 }
@@ -133,7 +134,7 @@
     gpointer name;
     g_hash_table_iter_init(&it, u->loaded);
     while (g_hash_table_iter_next(&it, &name, NULL)) {
-        remove_from_index(s->holders, name, u);
+        remove_from_index(s->ups_by_model, name, u);
     }
     g_hash_table_remove_all(u->loaded);
 }
@@ -142,7 +143,7 @@
 add_loaded(UpSet *s, Up *u, const char *model)
 {
     if (g_hash_table_add(u->loaded, g_strdup(model))) {
-        add_to_index(s->holders, model, u);
+        add_to_index(s->ups_by_model, model, u);
     }
 }
 
@@ -150,59 +151,59 @@
 up_forget_model(UpSet *s, Up *u, const char *model)
 {
     if (g_hash_table_remove(u->loaded, model)) {
-        remove_from_index(s->holders, model, u);
+        remove_from_index(s->ups_by_model, model, u);
     }
 }
 
 /* ---- leaving ------------------------------------------------------------ */
 
 static char *
-make_left_key(const char *id, const char *address)
+make_departed_key(const char *id, const char *address)
 {
     return g_strconcat(id, " ", address, NULL);
 }
 
 static bool
-has_left(const UpSet *s, const char *id, const char *address)
+has_departed(const UpSet *s, const char *id, const char *address)
 {
-    g_autofree char *key = make_left_key(id, address);
-    return g_hash_table_contains(s->left, key);
+    g_autofree char *key = make_departed_key(id, address);
+    return g_hash_table_contains(s->departed, key);
 }
 
 static void
-note_left(UpSet *s, const char *id, const char *address, uint64_t now_ms)
+add_departed(UpSet *s, const char *id, const char *address, uint64_t now_ms)
 {
     uint64_t *when = g_new(uint64_t, 1);
     *when = now_ms;
-    g_hash_table_replace(s->left, make_left_key(id, address), when);
+    g_hash_table_replace(s->departed, make_departed_key(id, address), when);
 }
 
 void
 up_mark_leaving(UpSet *s, Up *u, uint64_t now_ms)
 {
     u->leaving = true;
-    note_left(s, u->id, u->address, now_ms);
+    add_departed(s, u->id, u->address, now_ms);
 }
 
 void
-up_on_left(UpSet *s, uint64_t now_ms, const char *upstream,
-           const char *address)
+up_on_leaving(UpSet *s, uint64_t now_ms, const char *upstream,
+              const char *address)
 {
     Up *u = g_hash_table_lookup(s->ups, upstream);
-    note_left(s, upstream, address, now_ms);
+    add_departed(s, upstream, address, now_ms);
     if (u && strcmp(u->address, address) == 0) {
         u->leaving = true;
     }
 }
 
 static gboolean
-is_old_leaver(gpointer key, gpointer value, gpointer ctx)
+is_departure_expired(gpointer key, gpointer value, gpointer ctx)
 {
     (void)key;
-    return *(uint64_t *)value + LEFT_KEEP_MS < *(uint64_t *)ctx;
+    return *(uint64_t *)value + DEPARTED_KEEP_MS < *(uint64_t *)ctx;
 }
 
-/* ---- what the owners say ------------------------------------------------ */
+/* ---- residency messages of the owners ----------------------------------- */
 
 static Up *
 add_up(UpSet *s, const Bg__UpstreamState *state)
@@ -214,19 +215,19 @@
     u->address = g_strdup(state->address);
     u->share = SHARE_FULL;
     u->loaded = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    u->leaving = has_left(s, u->id, u->address);
+    u->leaving = has_departed(s, u->id, u->address);
     g_hash_table_insert(s->ups, u->id, u);
-    add_to_index(s->deployments, u->deployment, u);
+    add_to_index(s->ups_by_deployment, u->deployment, u);
     return u;
 }
 
-/* Take U out of the set; calls under way keep the object alive. */
+/* Takes U out of the set; calls in flight keep the object alive. */
 static void
 replace_up(UpSet *s, Up *u, uint64_t now_ms)
 {
     up_mark_leaving(s, u, now_ms);
     clear_loaded(s, u);
-    remove_from_index(s->deployments, u->deployment, u);
+    remove_from_index(s->ups_by_deployment, u->deployment, u);
     g_hash_table_steal(s->ups, u->id);
     u->replaced = true;
     if (u->inflight == 0) {
@@ -234,16 +235,16 @@
     }
 }
 
-/* An id that is back under another address is a new upstream: nothing that
-   was known of the old one holds for it. */
+/* An id with a new address is a new upstream: the state of the old one does
+   not apply to it. */
 static Up *
 get_up(UpSet *s, uint64_t now_ms, const Bg__UpstreamState *state, bool current)
 {
     Up *u = g_hash_table_lookup(s->ups, state->upstream);
     if (u && strcmp(u->address, state->address) != 0) {
-        /* Only the newest owner may move an id, and never back to where it
-           has left from. */
-        if (!current || has_left(s, state->upstream, state->address)) {
+        /* Only the newest owner may change an address, and never back to one
+           that the upstream has left. */
+        if (!current || has_departed(s, state->upstream, state->address)) {
             return NULL;
         }
         replace_up(s, u, now_ms);
@@ -253,14 +254,14 @@
 }
 
 static void
-take_state(UpSet *s, uint64_t now_ms, const Bg__UpstreamState *state,
-           bool current)
+apply_state(UpSet *s, uint64_t now_ms, const Bg__UpstreamState *state,
+            bool current)
 {
-    /* Leaving is one-way: whoever says it first is believed, also of an
-       address that the id does not have yet, and a list that lags never
-       brings a leaver back. */
+    /* Leaving is final: the first report counts, whoever sent it, also for an
+       address that the id does not have yet, and a stale list does not undo
+       it. */
     if (state->leaving) {
-        note_left(s, state->upstream, state->address, now_ms);
+        add_departed(s, state->upstream, state->address, now_ms);
     }
     Up *u = get_up(s, now_ms, state, current);
     if (!u) {
@@ -272,9 +273,9 @@
         return;
     }
     u->reported_ms = now_ms;
-    u->others = state->reported_inflight > u->inflight
-                    ? state->reported_inflight - u->inflight
-                    : 0;
+    u->others_inflight = state->reported_inflight > u->inflight
+                             ? state->reported_inflight - u->inflight
+                             : 0;
     clear_loaded(s, u);
     for (size_t i = 0; i < state->n_residents; i++) {
         if (!state->residents[i]->loading) {
@@ -286,20 +287,21 @@
 void
 up_on_residency(UpSet *s, uint64_t now_ms, const Bg__Residency *r)
 {
-    uint64_t *newest = g_hash_table_lookup(s->centres, r->data_centre);
+    uint64_t *newest = g_hash_table_lookup(s->newest_epochs, r->data_centre);
     if (!newest) {
         newest = g_new0(uint64_t, 1);
-        g_hash_table_insert(s->centres, g_strdup(r->data_centre), newest);
+        g_hash_table_insert(s->newest_epochs, g_strdup(r->data_centre),
+                            newest);
     }
-    /* An owner that was succeeded may still talk; its residents are old. */
+    /* A former owner may still send messages; its lists are stale. */
     bool current = r->epoch >= *newest;
     *newest = MAX(*newest, r->epoch);
     for (size_t i = 0; i < r->n_upstreams; i++) {
-        take_state(s, now_ms, r->upstreams[i], current);
+        apply_state(s, now_ms, r->upstreams[i], current);
     }
 }
 
-/* ---- ejection, probes, slow return -------------------------------------- */
+/* ---- ejection, probes, slow start --------------------------------------- */
 
 static void
 note_failure(UpSet *s, Up *u, uint64_t now_ms)
@@ -312,8 +314,8 @@
     }
 }
 
-/* A burst of held-back requests would push a returning upstream over again,
-   so its share of traffic doubles step by step. */
+/* The traffic share of an upstream that recovered doubles step by step, as a
+   burst of queued requests could overload it again. */
 void
 up_on_probe(UpSet *s, uint64_t now_ms, const char *upstream,
             const char *address, bool well)
@@ -353,33 +355,33 @@
             s->probe(s->ctx, u->id, u->address);
         }
     }
-    g_hash_table_foreach_remove(s->left, is_old_leaver, &now_ms);
+    g_hash_table_foreach_remove(s->departed, is_departure_expired, &now_ms);
 }
 
 /* ---- calls -------------------------------------------------------------- */
 
 void
-up_start(Up *u, bool alone)
+up_start(Up *u, bool exclusive)
 {
     u->inflight++;
-    u->alone = alone;
+    u->exclusive = exclusive;
 }
 
 void
-up_finish(UpSet *s, Up *u, uint64_t now_ms, UpEnd end)
+up_finish(UpSet *s, Up *u, uint64_t now_ms, UpOutcome end)
 {
     u->inflight--;
-    u->alone = false;
+    u->exclusive = false;
     if (u->replaced) {
         if (u->inflight == 0) {
             free_up(u);
         }
         return;
     }
-    if (end == UP_END_GOOD) {
+    if (end == UP_OUTCOME_GOOD) {
         u->failures = 0;
     }
-    else if (end == UP_END_FAILED) {
+    else if (end == UP_OUTCOME_FAILED) {
         note_failure(s, u, now_ms);
     }
 }
@@ -387,7 +389,7 @@
 /* ---- choice ------------------------------------------------------------- */
 
 static bool
-holds(const Up *u, const UpQuery *q)
+can_serve(const Up *u, const UpQuery *q)
 {
     if (u->gone || u->leaving || strcmp(u->deployment, q->deployment) != 0) {
         return false;
@@ -398,27 +400,27 @@
 static bool
 is_free(const UpSet *s, const Up *u, const UpQuery *q)
 {
-    return holds(u, q) && !u->ejected && !u->alone &&
-           (!q->alone || u->inflight == 0) &&
+    return can_serve(u, q) && !u->ejected && !u->exclusive &&
+           (!q->exclusive || u->inflight == 0) &&
            u->inflight < s->params.per_upstream &&
            !(q->avoided &&
              g_ptr_array_find_with_equal_func((GPtrArray *)q->avoided, u->id,
                                               g_str_equal, NULL));
 }
 
-/* What others had at the last report says less the older it is: calls end
-   and others begin.  In thousandths of a call. */
+/* In thousandths of a call.  The reported calls of others count less the
+   older the report is, as calls end and others begin. */
 static uint64_t
 get_load(const Up *u, uint64_t now_ms)
 {
     uint64_t age_ms = now_ms - u->reported_ms;
     uint64_t left_ms = age_ms < UP_REPORT_MS ? UP_REPORT_MS - age_ms : 0;
     return (uint64_t)u->inflight * 1000 +
-           (uint64_t)u->others * 1000 * left_ms / UP_REPORT_MS;
+           (uint64_t)u->others_inflight * 1000 * left_ms / UP_REPORT_MS;
 }
 
-/* At most 5/4 of the mean of LIST, rounded up, so that at least one is
-   always below it.  UNIT is one call. */
+/* 5/4 of the mean load with one more call, rounded up, so that at least one
+   upstream is always below it.  UNIT is one call. */
 static uint64_t
 get_bound(uint64_t total, guint count, uint64_t unit)
 {
@@ -426,9 +428,9 @@
     return ((total + unit) * BOUND_NUM + parts - 1) / parts * unit;
 }
 
-/* The bound holds for our own calls too: the loads that others make are
-   known late, and routers that all see room at one upstream would fill it
-   at once. */
+/* The bound is also applied to this router's own calls: the load caused by
+   others is known late, and routers that all see a free upstream would
+   overload it together. */
 static Up *
 pick_by_affinity(const GPtrArray *list, uint64_t now_ms, uint64_t affinity)
 {
@@ -473,16 +475,16 @@
 }
 
 static const GPtrArray *
-list_holders(const UpSet *s, const UpQuery *q)
+list_candidates(const UpSet *s, const UpQuery *q)
 {
-    return q->model ? g_hash_table_lookup(s->holders, q->model)
-                    : g_hash_table_lookup(s->deployments, q->deployment);
+    return q->model ? g_hash_table_lookup(s->ups_by_model, q->model)
+                    : g_hash_table_lookup(s->ups_by_deployment, q->deployment);
 }
 
 Up *
 up_choose(UpSet *s, uint64_t now_ms, const UpQuery *q)
 {
-    const GPtrArray *all = list_holders(s, q);
+    const GPtrArray *all = list_candidates(s, q);
     g_autoptr(GPtrArray) near = g_ptr_array_new();
     g_autoptr(GPtrArray) far = g_ptr_array_new();
     g_autoptr(GPtrArray) returning = g_ptr_array_new();
@@ -506,10 +508,10 @@
 uint32_t
 up_count_slots(const UpSet *s, const UpQuery *q)
 {
-    const GPtrArray *all = list_holders(s, q);
+    const GPtrArray *all = list_candidates(s, q);
     uint32_t slots = 0;
     for (guint i = 0; all && i < all->len; i++) {
-        if (holds(all->pdata[i], q)) {
+        if (can_serve(all->pdata[i], q)) {
             slots += s->params.per_upstream;
         }
     }
@@ -552,8 +554,9 @@
                       "id", u->id, "data_centre", u->data_centre, "address",
                       u->address, "leaving", u->leaving, "gone", u->gone,
                       "ejected", u->ejected, "share", (int)u->share,
-                      "inflight", (int)u->inflight, "others", (int)u->others,
-                      "loaded", (int)g_hash_table_size(u->loaded)));
+                      "inflight", (int)u->inflight, "others",
+                      (int)u->others_inflight, "loaded",
+                      (int)g_hash_table_size(u->loaded)));
     }
     return list;
 }
--- a/src/up.h
+++ b/src/up.h
@@ -1,11 +1,13 @@
-/* up: the upstreams that one router knows, and the choice among them.
+/* up: the upstreams known to one router, and the selection among them.
 
-   Fed by the owners' residency messages, by the ends of the router's own
-   calls and by probes.  No threads, I/O or clock.
+   Its inputs are the residency messages of the placers that own upstreams,
+   the results of the router's own calls, and probes.  No threads, I/O or
+   clock.
 
-   Load of an upstream: our own calls in flight, which we know exactly, plus
-   what others have there: the reported count less our own at the time the
-   report came.  A report is late, so it fades out over UP_REPORT_MS. */
+   The load of an upstream is the number of this router's calls in flight,
+   which is exact, plus an estimate of the calls of others: the reported count
+   minus this router's own at the time of the report.  As a report is stale
+   when it arrives, the estimate decays to 0 over UP_REPORT_MS. */
 #ifndef UP_H
 #define UP_H
 
@@ -16,69 +18,72 @@
 
 typedef struct {
     const char *data_centre;
-    uint32_t per_upstream;   /* our calls in flight on one at once */
-    uint32_t eject_failures; /* consecutive, before it is ejected */
-    uint32_t eject_ms;       /* rest before a probe, and between probes */
-    uint32_t return_ms;      /* each step of the slow return */
+    uint32_t per_upstream;   /* max. calls of this router in flight on one */
+    uint32_t eject_failures; /* consecutive failures before ejection */
+    uint32_t eject_ms;       /* time before the first and between probes */
+    uint32_t return_ms;      /* each step of the slow start after ejection */
     uint64_t seed;
 } UpParams;
 
 typedef struct UpSet UpSet;
 typedef struct Up Up;
 
-/* Ask UPSTREAM, on a fresh connection, whether it is well. */
+/* Checks the health of UPSTREAM over a new connection; the result is passed
+   to up_on_probe. */
 typedef void (*UpProbe)(void *ctx, const char *upstream, const char *address);
 
-/* Who could serve.  MODEL NULL: any upstream of the deployment. */
+/* Which upstreams can serve a request.  MODEL NULL: any of the deployment. */
 typedef struct {
     const char *deployment;
     const char *model;
-    const char *base;         /* that an adapter needs, or NULL */
+    const char *base;         /* base model of an adapter, or NULL */
     uint64_t affinity;        /* 0: none */
-    bool alone;               /* only one without calls of this router */
+    bool exclusive;           /* only upstreams without calls of this router */
     const GPtrArray *avoided; /* upstream ids, or NULL */
 } UpQuery;
 
 typedef enum {
-    UP_END_GOOD,        /* it answered */
-    UP_END_FAILED,      /* counts against it */
-    UP_END_SAID_NOTHING /* tells nothing of it */
-} UpEnd;
+    UP_OUTCOME_GOOD,   /* it answered */
+    UP_OUTCOME_FAILED, /* counts towards ejection */
+    UP_OUTCOME_NEUTRAL /* no evidence of its health */
+} UpOutcome;
 
 UpSet *up_create(const UpParams *params, UpProbe probe, void *ctx);
 void up_destroy(UpSet *s);
 
 void up_on_residency(UpSet *s, uint64_t now_ms, const Bg__Residency *r);
-/* Another router's word that UPSTREAM leaves. */
-void up_on_left(UpSet *s, uint64_t now_ms, const char *upstream,
-                const char *address);
+/* Another router announced that UPSTREAM is leaving. */
+void up_on_leaving(UpSet *s, uint64_t now_ms, const char *upstream,
+                   const char *address);
 void up_on_probe(UpSet *s, uint64_t now_ms, const char *upstream,
                  const char *address, bool well);
-/* Send the probes that are due. */
+/* Sends the probes that are due. */
 void up_on_tick(UpSet *s, uint64_t now_ms);
 
-/* The upstream to send to now, or NULL.  Here before elsewhere; then by
-   rendezvous hash of the affinity, within a bound on load; without
-   affinity the less loaded of two random ones. */
+/* The upstream to send to now, or NULL.  The own data centre is preferred.
+   Within a data centre: with affinity the first by rendezvous hash whose load
+   is within a bound, otherwise the less loaded of two random ones. */
 Up *up_choose(UpSet *s, uint64_t now_ms, const UpQuery *q);
-/* Calls that fit beside each other on those that could serve, ejected ones
-   included; 0: the model is cold. */
+/* Number of calls that the upstreams that can serve Q take at once, ejected
+   ones included; 0: the model is cold. */
 uint32_t up_count_slots(const UpSet *s, const UpQuery *q);
 
-/* A call starts; U stays valid until up_finish.  ALONE: none beside it. */
-void up_start(Up *u, bool alone);
-void up_finish(UpSet *s, Up *u, uint64_t now_ms, UpEnd end);
-/* It said itself that it leaves: no new work, whatever a list says. */
+/* A call starts; U stays valid until up_finish.  ALONE: no other call is
+   started on U meanwhile. */
+void up_start(Up *u, bool exclusive);
+void up_finish(UpSet *s, Up *u, uint64_t now_ms, UpOutcome end);
+/* U reported that it is leaving: it gets no new calls, even if a residency
+   message still lists it. */
 void up_mark_leaving(UpSet *s, Up *u, uint64_t now_ms);
-/* It said that it does not hold MODEL; the next report tells better. */
+/* U answered that MODEL is not loaded; corrected by the next report. */
 void up_forget_model(UpSet *s, Up *u, const char *model);
 
-/* Whether UPSTREAM leaves, is gone or was never known. */
+/* Whether UPSTREAM is leaving, gone or unknown. */
 bool up_is_leaving(const UpSet *s, const char *upstream);
 
 const char *up_get_id(const Up *u);
 const char *up_get_address(const Up *u);
-/* As a JSON array, borrowed by nobody: the caller owns it. */
+/* A new JSON array, owned by the caller. */
 struct json_t *up_dump(const UpSet *s);
 
 #endif
--- a/tests/script_rt.c
+++ b/tests/script_rt.c
@@ -186,11 +186,11 @@
 {
     static const char *const ends[] = {"ok", "not_sent", "turned_away",
                                        "broken", "cancelled"};
-    RtEnd end = {.done = (RtDone)find_word(ends, 5, w[2]),
-                 .leaving = strcmp(w[3], "leaving") == 0,
-                 .silent_connection = strcmp(w[3], "silent") == 0,
-                 .died = strcmp(w[3], "died") == 0,
-                 .late = strcmp(w[3], "late") == 0};
+    RtResult end = {.done = (RtOutcome)find_word(ends, 5, w[2]),
+                    .leaving = strcmp(w[3], "leaving") == 0,
+                    .silent_connection = strcmp(w[3], "silent") == 0,
+                    .died = strcmp(w[3], "died") == 0,
+                    .late = strcmp(w[3], "late") == 0};
     rt_on_done(s->core, s->now_ms, get_number(w[1]), &end);
 }
 
@@ -217,13 +217,13 @@
 static void
 run_left(Script *s, char **w)
 {
-    rt_on_left(s->core, s->now_ms, w[1], w[2]);
+    rt_on_leaving(s->core, s->now_ms, w[1], w[2]);
 }
 
 static void
 run_no_room(Script *s, char **w)
 {
-    rt_on_want_refused(s->core, s->now_ms, w[1], get_number(w[2]));
+    rt_on_demand_refused(s->core, s->now_ms, w[1], get_number(w[2]));
 }
 
 static void
