--- a/src/desk.c
+++ b/src/desk.c
@@ -7,47 +7,47 @@
 
 #define MAX_POOLED_CLIENTS 256
 
-/* What the core thread keeps of a request.  The ticket is on the stack of a
-   thread that leaves once its call is done, so nothing but a decision may
-   touch it; what the core looks at again is copied here. */
+/* The core thread's state of a request.  The ticket is on the stack of a
+   thread that returns once its call is done, so only a decision may access
+   it; what the core needs again is copied here. */
 typedef struct {
     Ticket *ticket;
     uint8_t digest[32]; /* of the whole request */
-    bool suspect;       /* an upstream died under an equal request */
-} Waiting;
+    bool suspect;       /* an upstream died while running an equal request */
+} RequestState;
 
 struct Desk {
     Node *node;
     /* Core thread only. */
-    GHashTable *tickets;  /* id -> Waiting */
-    GHashTable *claiming; /* id -> DeskEvent that waits for its claim */
-    GHashTable *holds;    /* id -> Hold */
+    GHashTable *tickets;      /* id -> Waiting */
+    GHashTable *claiming;     /* id -> DeskEvent whose claim is pending */
+    GHashTable *reservations; /* id -> Hold */
     Lim *lim;
     OnceCore *once;
     QrCore *quarantine;
 
     atomic_uint_fast64_t next_id;
-    atomic_uint inside;
-    uint32_t most_inside;            /* beyond it a thread only refuses */
-    atomic_uint models[CFG_CLASSES]; /* model calls inside, by class */
+    atomic_uint active;
+    uint32_t max_active; /* beyond it requests are refused */
+    atomic_uint active_models[CFG_CLASSES]; /* active model calls, by class */
     CallLimits limits;
     GHashTable *silent; /* address -> uint64_t ms; under pool_lock */
     pthread_mutex_t pool_lock;
     GQueue pool; /* idle HcClient */
 };
 
-/* What an admitted request holds of its workspace's limits. */
+/* What an admitted request takes up of its workspace's limits. */
 typedef struct {
     uint64_t id;
     char *workspace;
     uint32_t tokens;
     uint64_t start_ms;
-} Hold;
+} Reservation;
 
 static void
-free_hold(gpointer p)
+free_reservation(gpointer p)
 {
-    g_free(((Hold *)p)->workspace);
+    g_free(((Reservation *)p)->workspace);
     g_free(p);
 }
 
@@ -73,11 +73,12 @@
     d->claiming = g_hash_table_new(g_int64_hash, g_int64_equal);
     uint32_t threads =
         (uint32_t)ini_get_int(node_get_settings(n), "node", "http_threads");
-    /* Some threads stay free to refuse and to answer the balancer. */
-    d->most_inside = threads - MAX(threads / 8, 2);
+    /* Some threads stay free to refuse requests and for the health checks of
+       the load balancer. */
+    d->max_active = threads - MAX(threads / 8, 2);
     d->lim = limits;
-    d->holds =
-        g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_hold);
+    d->reservations = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
+                                            free_reservation);
     d->limits = read_limits(node_get_settings(n));
     d->silent = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     pthread_mutex_init(&d->pool_lock, NULL);
@@ -117,14 +118,14 @@
     pthread_mutex_destroy(&d->pool_lock);
     g_hash_table_destroy(d->tickets);
     g_hash_table_destroy(d->silent);
-    g_hash_table_destroy(d->holds);
+    g_hash_table_destroy(d->reservations);
     g_free(d);
 }
 
 uint32_t
 desk_count(const Desk *d)
 {
-    return atomic_load(&d->inside);
+    return atomic_load(&d->active);
 }
 
 HcClient *
@@ -151,7 +152,7 @@
 }
 
 void
-desk_note_silence(Desk *d, const char *address)
+desk_mark_silent(Desk *d, const char *address)
 {
     uint64_t *when = g_new(uint64_t, 1);
     *when = bg_now_ms();
@@ -162,7 +163,7 @@
 }
 
 bool
-desk_was_silent(Desk *d, const char *address)
+desk_is_silent(Desk *d, const char *address)
 {
     pthread_mutex_lock(&d->pool_lock);
     const uint64_t *when = g_hash_table_lookup(d->silent, address);
@@ -179,39 +180,39 @@
 uint64_t
 desk_enter(Desk *d)
 {
-    atomic_fetch_add(&d->inside, 1);
+    atomic_fetch_add(&d->active, 1);
     return atomic_fetch_add(&d->next_id, 1) + 1;
 }
 
 void
 desk_leave(Desk *d)
 {
-    atomic_fetch_sub(&d->inside, 1);
+    atomic_fetch_sub(&d->active, 1);
 }
 
 bool
 desk_is_full(const Desk *d)
 {
-    return atomic_load(&d->inside) > d->most_inside;
+    return atomic_load(&d->active) > d->max_active;
 }
 
 bool
 desk_enter_class(Desk *d, CfgClass class_)
 {
-    uint32_t most = d->most_inside;
+    uint32_t max_active = d->max_active;
     uint32_t held[CFG_CLASSES];
-    atomic_fetch_add(&d->models[class_], 1);
+    atomic_fetch_add(&d->active_models[class_], 1);
     for (int i = 0; i < CFG_CLASSES; i++) {
-        held[i] = atomic_load(&d->models[i]);
+        held[i] = atomic_load(&d->active_models[i]);
     }
     switch (class_) {
     case CFG_BATCH:
-        return held[CFG_BATCH] <= most / 2;
+        return held[CFG_BATCH] <= max_active / 2;
     case CFG_INTERACTIVE:
-        return held[CFG_BATCH] + held[CFG_INTERACTIVE] <= most / 4 * 3;
+        return held[CFG_BATCH] + held[CFG_INTERACTIVE] <= max_active / 4 * 3;
     case CFG_LOOKUP:
         return held[CFG_LOOKUP] + held[CFG_BATCH] + held[CFG_INTERACTIVE] <=
-               most / 8 * 7;
+               max_active / 8 * 7;
     }
     return false;
 }
@@ -219,7 +220,7 @@
 void
 desk_leave_class(Desk *d, CfgClass class_)
 {
-    atomic_fetch_sub(&d->models[class_], 1);
+    atomic_fetch_sub(&d->active_models[class_], 1);
 }
 
 Node *
@@ -236,50 +237,50 @@
 
 /* ---- core thread -------------------------------------------------------- */
 
-/* Hold what the request may use; false: over a limit. */
+/* Reserves what the request may use; false: over a limit. */
 static bool
-take_hold(Desk *d, uint64_t now_ms, const RtRequest *r,
-          uint64_t *retry_after_ms)
+reserve_limits(Desk *d, uint64_t now_ms, const RtRequest *r,
+               uint64_t *retry_after_ms)
 {
     uint32_t tokens = r->model ? r->cost : 0;
     if (!lim_take(d->lim, now_ms, r->workspace, tokens, retry_after_ms)) {
         return false;
     }
-    Hold *h = g_new0(Hold, 1);
+    Reservation *h = g_new0(Reservation, 1);
     h->id = r->id;
     h->workspace = g_strdup(r->workspace);
     h->tokens = tokens;
     h->start_ms = now_ms;
-    g_hash_table_replace(d->holds, &h->id, h);
+    g_hash_table_replace(d->reservations, &h->id, h);
     return true;
 }
 
 static void
-give_hold(Desk *d, uint64_t id, uint32_t used)
+release_limits(Desk *d, uint64_t id, uint32_t used)
 {
-    const Hold *h = g_hash_table_lookup(d->holds, &id);
+    const Reservation *h = g_hash_table_lookup(d->reservations, &id);
     if (h) {
         uint64_t now_ms = bg_now_ms();
         lim_give(d->lim, now_ms, h->workspace, h->tokens, used,
                  now_ms - h->start_ms);
-        g_hash_table_remove(d->holds, &id);
+        g_hash_table_remove(d->reservations, &id);
     }
 }
 
-/* False when nobody waits for it. */
+/* Passes a decision to the request thread; false: none waits for it. */
 static bool
-decide(Desk *d, uint64_t id, const Ticket *decided)
+deliver_decision(Desk *d, uint64_t id, const Ticket *decided)
 {
-    Waiting *w = g_hash_table_lookup(d->tickets, &id);
+    RequestState *w = g_hash_table_lookup(d->tickets, &id);
     if (!w) {
         return false;
     }
     Ticket *t = w->ticket;
-    /* The ticket is on the waiting thread's stack: it is not to be touched
+    /* The ticket is on the waiting thread's stack and must not be accessed
        after the final decision, so it leaves the table first. */
     if (decided->decision != DECIDED_SEND) {
         g_hash_table_remove(d->tickets, &id);
-        give_hold(d, id, 0);
+        release_limits(d, id, 0);
     }
     pthread_mutex_lock(&t->lock);
     t->decision = decided->decision;
@@ -302,7 +303,7 @@
     Ticket t = {.decision = DECIDED_SEND, .long_run_ms = long_run_ms};
     g_strlcpy(t.upstream, upstream, sizeof(t.upstream));
     g_strlcpy(t.address, address, sizeof(t.address));
-    decide(d, id, &t);
+    deliver_decision(d, id, &t);
 }
 
 void
@@ -311,16 +312,16 @@
     Ticket t = {.decision = DECIDED_REFUSE,
                 .reason = reason,
                 .retry_after_ms = retry_after_ms};
-    decide(d, id, &t);
+    deliver_decision(d, id, &t);
 }
 
 void
 desk_on_finish(Desk *d, uint64_t id)
 {
     Ticket t = {.decision = DECIDED_FINISH};
-    const Waiting *w = g_hash_table_lookup(d->tickets, &id);
+    const RequestState *w = g_hash_table_lookup(d->tickets, &id);
     t.quarantined = w && qr_judge(d->quarantine, w->digest) == QR_QUARANTINED;
-    decide(d, id, &t);
+    deliver_decision(d, id, &t);
 }
 
 /* ---- core thread: at most once, quarantine ------------------------------ */
@@ -352,7 +353,8 @@
     return r;
 }
 
-/* Past the claim, if there is one: route it, unless upstreams die of it. */
+/* Routes a request whose claim, if any, was won, unless it is in quarantine.
+ */
 static void
 route_request(Desk *d, RtCore *core, uint64_t now_ms, DeskEvent *e)
 {
@@ -362,7 +364,7 @@
         desk_on_refuse(d, e->id, RT_REFUSED_QUARANTINE, 0);
         return;
     }
-    Waiting *w = g_hash_table_lookup(d->tickets, &e->id);
+    RequestState *w = g_hash_table_lookup(d->tickets, &e->id);
     w->suspect = verdict == QR_SUSPECT;
     e->request.suspect = w->suspect;
     rt_on_arrive(core, now_ms, &e->request);
@@ -383,7 +385,7 @@
     else {
         Ticket t = {.decision = DECIDED_ONCE,
                     .reply = copy_decision(decision)};
-        if (!decide(d, id, &t)) {
+        if (!deliver_decision(d, id, &t)) {
             desk_free_reply(t.reply);
         }
     }
@@ -400,21 +402,22 @@
     gpointer w;
     g_hash_table_iter_init(&it, d->tickets);
     while (verdict != QR_CLEAR && g_hash_table_iter_next(&it, &id, &w)) {
-        if (memcmp(((Waiting *)w)->digest, digest, 32) == 0) {
+        if (memcmp(((RequestState *)w)->digest, digest, 32) == 0) {
             g_array_append_val(ids, *(uint64_t *)id);
         }
     }
-    /* A refusal takes its ticket out of the table. */
+    /* Not within the iteration: a refusal removes its ticket from the table.
+     */
     for (guint i = 0; i < ids->len; i++) {
         rt_on_death(core, g_array_index(ids, uint64_t, i),
                     verdict == QR_QUARANTINED);
     }
 }
 
-/* Before the routing core hears of it: a refusal or a finish that follows
-   must find the key and the deaths as this attempt left them. */
+/* Called before the routing core gets the result: a refusal or finish that
+   follows must find the key and the deaths updated by this attempt. */
 static void
-note_done(Desk *d, RtCore *core, uint64_t now_ms, const DeskEvent *e)
+record_result(Desk *d, RtCore *core, uint64_t now_ms, const DeskEvent *e)
 {
     uint64_t wall_ms = bg_wall_ms();
     if (e->end.done == RT_OUTCOME_OK) {
@@ -427,13 +430,14 @@
     else {
         once_on_broken(d->once, now_ms, wall_ms, e->id);
     }
-    Waiting *w = g_hash_table_lookup(d->tickets, &e->id);
+    RequestState *w = g_hash_table_lookup(d->tickets, &e->id);
     if (!w || !e->upstream) {
         return;
     }
-    w->suspect = w->suspect || e->end.died; /* from here on it runs alone */
-    /* A VM that was told to leave is taken away; no request is to blame. */
-    if (e->broken_open && !rt_is_leaving(core, e->upstream)) {
+    w->suspect = w->suspect || e->end.died;
+    /* The VM of a leaving upstream is removed on purpose: the request is not
+       the cause. */
+    if (e->connection_broke && !rt_is_leaving(core, e->upstream)) {
         qr_on_broken(d->quarantine, now_ms, wall_ms, w->digest, e->upstream,
                      e->end.died);
     }
@@ -447,12 +451,12 @@
 {
     uint64_t *id = g_new(uint64_t, 1);
     *id = e->id;
-    Waiting *w = g_new0(Waiting, 1);
+    RequestState *w = g_new0(RequestState, 1);
     w->ticket = e->ticket;
     memcpy(w->digest, e->digest, sizeof(w->digest));
     g_hash_table_insert(d->tickets, id, w);
     uint64_t retry_after_ms;
-    if (!take_hold(d, now_ms, &e->request, &retry_after_ms)) {
+    if (!reserve_limits(d, now_ms, &e->request, &retry_after_ms)) {
         desk_on_refuse(d, e->id, RT_REFUSED_LIMIT, retry_after_ms);
         free_event(e);
         return;
@@ -471,17 +475,17 @@
 {
     Ticket drop = {.decision = DECIDED_DROP};
     if (rt_on_cancel(core, now_ms, id)) {
-        decide(d, id, &drop);
+        deliver_decision(d, id, &drop);
     }
 }
 
 static void
 end_attempt(Desk *d, RtCore *core, uint64_t now_ms, const DeskEvent *e)
 {
-    note_done(d, core, now_ms, e);
+    record_result(d, core, now_ms, e);
     if (e->end.done == RT_OUTCOME_OK || e->end.done == RT_OUTCOME_CANCELLED) {
         g_hash_table_remove(d->tickets, &e->id);
-        give_hold(d, e->id, e->used);
+        release_limits(d, e->id, e->used);
     }
     rt_on_done(core, now_ms, e->id, &e->end);
 }
@@ -492,7 +496,7 @@
     DeskEvent *e = event;
     switch (e->kind) {
     case DESK_ARRIVE:
-        begin_request(d, core, now_ms, e); /* takes the event */
+        begin_request(d, core, now_ms, e); /* owns the event from here */
         return;
     case DESK_CANCEL:
         cancel_request(d, core, now_ms, e->id);
--- a/src/req.c
+++ b/src/req.c
@@ -13,29 +13,30 @@
 #define MAX_BODY (1024 * 1024)
 #define MAX_DISCARD (16u * 1024 * 1024)
 #define AFFINITY_BYTES 512
-#define AWAIT_MS 100 /* between looks at whether the caller is gone */
+#define CALLER_POLL_MS 100 /* between checks whether the caller disconnected  \
+                            */
 #define DEFAULT_MAX_TOKENS 256
 #define BUSY_RETRY_MS 1000
-#define LONG_RUNS 3 /* a generation that takes so many is taken for silent */
-#define STATUS_CALLER_GONE 499 /* for the log only; nobody reads it */
-#define PROBE_MS 500
-/* A dying process is given half a second to close its last socket. */
+#define ANSWER_TIMEOUT_RUNS 3  /* answer timeout, in long runs of the model */
+#define STATUS_CALLER_GONE 499 /* for the access log; not sent */
+#define DEATH_PROBE_MS 500
+/* A dying process gets 500 ms to close its last socket. */
 #define DEATH_PROBES 6
 #define DEATH_PROBE_PAUSE_MS 100
 #define MAX_KEY_LEN 255
-#define CHUNK_FRAME 24 /* length line and line ends of a chunk */
+#define CHUNK_FRAME 24 /* bytes for the size line and line ends of a chunk */
 
 /* ---- one request -------------------------------------------------------- */
 
-/* What a request thread knows of its request. */
+/* State of a request, owned by its HTTP thread. */
 typedef struct {
     Desk *desk;
     struct mg_connection *conn;
     const struct mg_request_info *info;
     CfgSet *cfg;
     const CfgWorkspace *workspace;
-    const CfgModel *model;     /* or */
-    const CfgService *service; /* one of both */
+    const CfgModel *model;     /* NULL: a call of a service */
+    const CfgService *service; /* NULL: a call of a model */
     const char *service_path;
     const char *key; /* Idempotency-Key of a call that needs one, or NULL */
     char attempt_id[BG_ID_LEN + 1]; /* of the claim */
@@ -44,24 +45,24 @@
     bool chat;
     bool stream;
     uint64_t id;
-    char *caller_id; /* X-Request-Id, the caller's or ours */
+    char *caller_id; /* X-Request-Id, of the caller or generated */
     uint64_t start_ms;
     uint64_t deadline_ms;
     Ticket ticket;
     Watch watch;
     bool client_gone;
-    bool close; /* the connection ends with this answer */
+    bool close; /* close the connection after this answer */
     uint32_t max_tokens;
-    /* of the streamed answer */
+    /* Of a streamed answer. */
     bool head_sent;
-    GString *line; /* an SSE line not yet whole */
-    bool saw_end;  /* data: [DONE] */
+    GString *line; /* an incomplete SSE line */
+    bool saw_done; /* data: [DONE] */
     uint32_t tokens_sent;
     long upstream_status;
 } Req;
 
-/* An idle connection holds an HTTP thread: when they get scarce, and at a
-   stop, the connection ends with the answer. */
+/* An idle connection occupies an HTTP thread.  So the connection is closed
+   after the answer if few threads are free or the router is draining. */
 static const char *
 end_connection(Req *q)
 {
@@ -120,7 +121,7 @@
                       "not run: the router is full", BUSY_RETRY_MS);
 }
 
-/* ---- who and what ------------------------------------------------------- */
+/* ---- authentication and parsing ----------------------------------------- */
 
 static const char *
 get_header(const Req *q, const char *name)
@@ -138,8 +139,8 @@
     return cfg_authenticate(q->cfg, auth + 7);
 }
 
-/* A client that is still sending would see its connection reset instead of
-   the answer, so a bounded part of what is too much is read and dropped. */
+/* A client that is still sending would get a connection reset instead of the
+   answer, so a bounded part of the excess is read and discarded. */
 static int
 refuse_large(Req *q)
 {
@@ -154,7 +155,7 @@
     return refuse_call(q, 413, "too_large", "the body is too large");
 }
 
-/* 0, or the status it was refused with. */
+/* 0, or the HTTP status of the refusal that was sent. */
 static int
 read_body(Req *q)
 {
@@ -173,7 +174,7 @@
     if (q->info->content_length >= 0 &&
         q->body->len != (guint)q->info->content_length) {
         q->close = true;
-        return refuse_call(q, 400, "truncated", "the body is not whole");
+        return refuse_call(q, 400, "truncated", "the body is incomplete");
     }
     return 0;
 }
@@ -199,7 +200,7 @@
     }
     else if (!cfg_find_model(q->cfg, name) ||
              !cfg_may_call_model(q->workspace, name)) {
-        /* The same words for both, so that names are not given away. */
+        /* The same message for both, so as not to disclose names. */
         status = refuse_call(q, 404, "no_such_model",
                              "the workspace has no such model");
     }
@@ -261,18 +262,18 @@
 }
 
 static void
-wait_a_while(Ticket *t)
+wait_on_ticket(Ticket *t)
 {
     struct timespec until;
     clock_gettime(CLOCK_REALTIME, &until);
-    until.tv_nsec += AWAIT_MS * 1000000L;
+    until.tv_nsec += CALLER_POLL_MS * 1000000L;
     until.tv_sec += until.tv_nsec / 1000000000L;
     until.tv_nsec %= 1000000000L;
     pthread_cond_timedwait(&t->decided, &t->lock, &until);
 }
 
-/* A call with a key goes on without its caller, who gets the recorded answer
-   when it asks again. */
+/* A call with a key goes on when its caller disconnects: the caller gets the
+   recorded answer when it retries. */
 static bool
 is_caller_gone(void *ctx)
 {
@@ -285,8 +286,8 @@
     return q->client_gone;
 }
 
-/* Even when the caller is gone the core's word is waited for: it holds a
-   pointer to this thread's ticket until then. */
+/* Waits for the core's decision even if the caller is gone: until then the
+   core holds a pointer to the ticket, which is on this thread's stack. */
 static void
 await_decision(Req *q, Ticket *out)
 {
@@ -294,7 +295,7 @@
     bool cancelled = q->client_gone;
     pthread_mutex_lock(&t->lock);
     while (t->decision == DECIDED_NONE) {
-        wait_a_while(t);
+        wait_on_ticket(t);
         if (t->decision == DECIDED_NONE && !cancelled && is_caller_gone(q)) {
             cancelled = true;
             pthread_mutex_unlock(&t->lock);
@@ -313,7 +314,8 @@
     return XXH64(q->body->data, MIN(q->body->len, AFFINITY_BYTES), 0);
 }
 
-/* Digest of everything that makes this request what it is. */
+/* Digest of all that identifies equal requests: workspace, method, path,
+   query, model or service, and body. */
 static void
 compute_digest(Req *q)
 {
@@ -353,7 +355,7 @@
     r->priority = q->workspace->priority;
     r->deadline_ms = q->deadline_ms;
     r->cost = 1;
-    /* A service's call that may have run is never run again by us. */
+    /* A call of a service is not sent again once it may have run. */
     r->once = q->service != NULL;
     if (q->model) {
         r->cost = q->max_tokens;
@@ -365,7 +367,7 @@
         r->affinity = compute_affinity(q);
     }
     else {
-        g_assert(q->service != NULL); /* one of both is set */
+        g_assert(q->service != NULL);
         r->deployment = q->service->upstreams;
         r->class_ = CFG_LOOKUP;
     }
@@ -396,7 +398,7 @@
     mg_disable_connection_keep_alive(q->conn);
 }
 
-/* One write a chunk: the library's own call makes three, each a system
+/* One write for each chunk: mg_send_chunk makes three, each of them a system
    call and a packet. */
 static bool
 send_stream_text(Req *q, const char *text, size_t len)
@@ -412,15 +414,15 @@
     return true;
 }
 
-/* Pass on one SSE line; an event is sent when its last line is whole, so
-   that a cut upstream never leaves half an event with the caller. */
+/* Forwards one SSE line as a complete event, so that the caller never gets
+   part of an event when the upstream breaks off. */
 static bool
-pass_line(Req *q, const char *line, size_t len)
+forward_line(Req *q, const char *line, size_t len)
 {
     if (len > 5 && strncmp(line, "data:", 5) == 0) {
-        /* [DONE] tells the caller that it has all: it goes out last. */
+        /* [DONE] marks the answer as complete: it is sent at the end. */
         if (g_strstr_len(line, (gssize)len, "[DONE]") == line + 6) {
-            q->saw_end = true;
+            q->saw_done = true;
             return true;
         }
         q->tokens_sent++;
@@ -434,11 +436,11 @@
 take_stream_data(void *ctx, const char *data, size_t len)
 {
     Req *q = ctx;
-    if (q->saw_end) {
+    if (q->saw_done) {
         return true;
     }
     if (q->upstream_status != 200) {
-        /* Not a stream: an error, kept whole and passed on as it is. */
+        /* Not a stream but an error: buffered and forwarded unchanged. */
         g_string_append_len(q->line, data, (gssize)len);
         return q->line->len <= MAX_BODY;
     }
@@ -450,7 +452,7 @@
     while ((end = memchr(q->line->str, '\n', q->line->len))) {
         size_t n = (size_t)(end - q->line->str);
         size_t text = n > 0 && q->line->str[n - 1] == '\r' ? n - 1 : n;
-        bool good = pass_line(q, q->line->str, text);
+        bool good = forward_line(q, q->line->str, text);
         g_string_erase(q->line, 0, (gssize)n + 1);
         if (!good) {
             return false;
@@ -459,8 +461,8 @@
     return true;
 }
 
-/* A stream that cannot be completed ends in an error event and without the
-   closing chunk: no client can take it for whole. */
+/* A stream that cannot be completed ends with an error event and without the
+   last chunk, so that no client takes it for complete. */
 static void
 abort_stream(Req *q)
 {
@@ -479,11 +481,12 @@
     HcResult res;
     RtResult end;
     const char *upstream;
-    bool broken_open; /* the connection broke with bytes out: no timeout */
+    bool connection_broke; /* the connection broke (no timeout) after bytes of
+                         the request were sent */
 } Attempt;
 
 static uint32_t
-get_left(const Req *q)
+get_remaining_ms(const Req *q)
 {
     uint64_t now_ms = bg_now_ms();
     return now_ms < q->deadline_ms ? (uint32_t)(q->deadline_ms - now_ms) : 1;
@@ -505,13 +508,13 @@
 static GPtrArray *
 make_headers(const Req *q)
 {
-    static const char *const passed[] = {"Content-Type", "Idempotency-Key",
-                                         "X-Run-Id"};
+    static const char *const forwarded[] = {"Content-Type", "Idempotency-Key",
+                                            "X-Run-Id"};
     GPtrArray *h = g_ptr_array_new_with_free_func(g_free);
-    for (size_t i = 0; i < G_N_ELEMENTS(passed); i++) {
-        const char *value = get_header(q, passed[i]);
+    for (size_t i = 0; i < G_N_ELEMENTS(forwarded); i++) {
+        const char *value = get_header(q, forwarded[i]);
         if (value) {
-            g_ptr_array_add(h, g_strdup_printf("%s: %s", passed[i], value));
+            g_ptr_array_add(h, g_strdup_printf("%s: %s", forwarded[i], value));
         }
     }
     g_ptr_array_add(h, g_strdup_printf("X-Request-Id: %s", q->caller_id));
@@ -521,38 +524,38 @@
     return h;
 }
 
-/* Reads the tokens made as well. */
+/* Also reads the number of generated tokens. */
 static bool
-is_whole_json(Req *q, const HcResult *res)
+is_complete_json(Req *q, const HcResult *res)
 {
     json_t *doc = js_parse(res->body->str, res->body->len, NULL);
-    bool whole = json_is_object(doc);
+    bool valid = json_is_object(doc);
     json_t *usage = json_object_get(doc, "usage");
     json_int_t made =
         json_integer_value(json_object_get(usage, "completion_tokens"));
     q->tokens_sent = made > 0 && made < UINT32_MAX ? (uint32_t)made : 0;
     json_decref(doc);
-    return whole;
+    return valid;
 }
 
 static bool
-is_turned_away(const HcResult *res)
+is_rejected(const HcResult *res)
 {
     return res->upstream_state && (res->status == 404 || res->status == 503);
 }
 
-/* Whether all of the answer is here: a stream by its own last word, anything
-   else by its told length, and a completion by being JSON besides. */
+/* Whether the answer is complete: a stream by its [DONE], any other answer by
+   its declared length, a completion also by being valid JSON. */
 static bool
-is_whole(Req *q, const HcResult *res)
+is_complete(Req *q, const HcResult *res)
 {
     if (q->stream && res->status == 200) {
-        return q->saw_end;
+        return q->saw_done;
     }
     if (q->head_sent || !res->framed) {
         return false;
     }
-    return !q->model || res->status != 200 || is_whole_json(q, res);
+    return !q->model || res->status != 200 || is_complete_json(q, res);
 }
 
 static RtOutcome
@@ -564,13 +567,13 @@
     if (res->end == HC_NOT_SENT) {
         return RT_OUTCOME_NOT_SENT;
     }
-    if (res->end != HC_DONE && !(q->stream && q->saw_end)) {
+    if (res->end != HC_DONE && !(q->stream && q->saw_done)) {
         return RT_OUTCOME_BROKEN;
     }
-    if (is_turned_away(res)) {
+    if (is_rejected(res)) {
         return RT_OUTCOME_REJECTED;
     }
-    return is_whole(q, res) ? RT_OUTCOME_OK : RT_OUTCOME_BROKEN;
+    return is_complete(q, res) ? RT_OUTCOME_OK : RT_OUTCOME_BROKEN;
 }
 
 static bool
@@ -582,8 +585,8 @@
     return true;
 }
 
-/* The body of this attempt; a stream that broke goes on after the last
-   token that the caller has.  Free with free(); NULL: the caller's own. */
+/* The request body that resumes a broken stream after the last token the
+   caller has.  Free with free(); NULL: send the caller's body. */
 static char *
 make_resuming_body(const Req *q)
 {
@@ -599,50 +602,51 @@
     return text;
 }
 
-/* Nothing is heard of an unstreamed completion before its end.  A limit
-   below that would run long ones again and eject engines that are well, so
-   it follows what was measured; before that there is none. */
+/* An unstreamed completion sends nothing before its end.  A timeout that is
+   too short would run long completions again and eject healthy engines, so it
+   is derived from measured runs; without any, only the deadline applies. */
 static uint32_t
-get_answer_ms(const Req *q, uint32_t long_run_ms, uint32_t left_ms)
+get_answer_ms(const Req *q, uint32_t long_run_ms, uint32_t remaining_ms)
 {
-    uint64_t limit_ms = (uint64_t)long_run_ms * LONG_RUNS;
+    uint64_t limit_ms = (uint64_t)long_run_ms * ANSWER_TIMEOUT_RUNS;
     return long_run_ms == 0
-               ? left_ms
+               ? remaining_ms
                : (uint32_t)MIN(
-                     left_ms,
+                     remaining_ms,
                      MAX(limit_ms, desk_get_limits(q->desk)->answer_ms));
 }
 
 static uint32_t
-get_first_byte_ms(const Req *q, const Ticket *t, uint32_t left_ms)
+get_first_byte_ms(const Req *q, const Ticket *t, uint32_t remaining_ms)
 {
     if (!q->model) {
-        return left_ms;
+        return remaining_ms;
     }
-    return q->stream ? MIN(left_ms, desk_get_limits(q->desk)->first_byte_ms)
-                     : get_answer_ms(q, t->long_run_ms, left_ms);
+    return q->stream
+               ? MIN(remaining_ms, desk_get_limits(q->desk)->first_byte_ms)
+               : get_answer_ms(q, t->long_run_ms, remaining_ms);
 }
 
-/* A pooled connection that gave no answer, or one that fell silent within
-   it, may be dead while the upstream is well. */
+/* A pooled connection without any answer, or a connection that became silent
+   within an answer, may be dead while the upstream is healthy. */
 static bool
 is_connection_at_fault(const HcResult *res)
 {
     return res->status == 0 ? res->reused : res->end == HC_TIMEOUT;
 }
 
-/* A fresh connection, not the broken one, tells whether the process died.  It
-   is tried again while it breaks without an answer: a dying process takes
-   connections until its last socket is closed. */
+/* Whether the upstream's process died: a new connection is refused.  Repeated
+   while it breaks without an answer, as a dying process accepts connections
+   until its last socket is closed. */
 static bool
-is_refused(const Desk *d, HcClient *c, const char *address)
+has_process_died(const Desk *d, HcClient *c, const char *address)
 {
     g_autofree char *url =
         g_strconcat("http://", address, "/control/report", NULL);
     HcRequest req = {.method = "GET",
                      .url = url,
                      .connect_ms = desk_get_limits(d)->connect_ms,
-                     .total_ms = PROBE_MS,
+                     .total_ms = DEATH_PROBE_MS,
                      .fresh = true};
     bool refused = false;
     bool broken = true;
@@ -659,27 +663,27 @@
     return refused;
 }
 
-/* A router that was paused after its claim won must not send so late that
-   the key's life may be over. */
+/* A router that was paused after it won the claim must not send after the
+   deadline, as the claim may expire soon after. */
 static bool
-is_too_late(const Req *q)
+is_past_deadline(const Req *q)
 {
     return q->key && bg_now_ms() >= q->deadline_ms;
 }
 
 static void
-judge_attempt(Req *q, const Ticket *t, Attempt *a)
+set_result(Req *q, const Ticket *t, Attempt *a)
 {
     a->end.done = classify(q, &a->res);
     a->end.leaving = g_strcmp0(a->res.upstream_state, "leaving") == 0;
-    a->end.late = a->res.end == HC_TIMEOUT && get_left(q) <= 1;
+    a->end.late = a->res.end == HC_TIMEOUT && get_remaining_ms(q) <= 1;
     a->end.silent_connection = is_connection_at_fault(&a->res);
     if (a->res.end == HC_TIMEOUT && !a->end.late) {
-        desk_note_silence(q->desk, t->address);
+        desk_mark_silent(q->desk, t->address);
     }
     if (a->end.done == RT_OUTCOME_BROKEN) {
         bg_count("router_broken_attempts_total", 1);
-        bg_log(BG_WARN, "req", "Request %s broke at %s: %s, status %ld%s.",
+        bg_log(BG_WARN, "req", "Request %s failed at %s: %s, status %ld%s.",
                q->caller_id, t->upstream, hc_end_name(a->res.end),
                a->res.status, a->res.crossed ? ", crossed" : "");
     }
@@ -689,7 +693,7 @@
 run_attempt(Req *q, const Ticket *t, Attempt *a)
 {
     a->upstream = t->upstream;
-    if (is_too_late(q)) {
+    if (is_past_deadline(q)) {
         a->end.done = RT_OUTCOME_REJECTED;
         return;
     }
@@ -697,7 +701,7 @@
     g_autofree char *url = make_url(q, t->address);
     g_autoptr(GPtrArray) headers = make_headers(q);
     char *resuming = make_resuming_body(q);
-    uint32_t left_ms = get_left(q);
+    uint32_t remaining_ms = get_remaining_ms(q);
     char attempt_id[BG_ID_LEN + 1];
     bg_make_id(attempt_id);
     HcRequest req = {.method = q->info->request_method,
@@ -706,18 +710,18 @@
                      .body = q->body->len ? q->body->data : NULL,
                      .body_len = q->body->len,
                      .connect_ms = l->connect_ms,
-                     .first_byte_ms = get_first_byte_ms(q, t, left_ms),
-                     .total_ms = left_ms,
+                     .first_byte_ms = get_first_byte_ms(q, t, remaining_ms),
+                     .total_ms = remaining_ms,
                      .idle_ms = l->idle_ms,
                      .max_idle_ms = l->pool_idle_ms,
-                     /* Nothing is heard of a whole generation before its
-                        end: a forgotten connection would eat the deadline,
-                        and a new one costs little beside the generation.
-                        It is closed after use: no other call of its kind
-                        would take it from the pool, and idle ones would hold
-                        the engine's threads until it falls silent. */
+                     /* An unstreamed generation sends nothing before its
+                        end: a dead pooled connection would use up the
+                        deadline, and a new one is cheap in comparison.  It is
+                        closed after use: calls of this kind take none from
+                        the pool, and idle ones would occupy threads of the
+                        engine. */
                      .fresh = !q->stream,
-                     .renew = desk_was_silent(q->desk, t->address),
+                     .renew = desk_is_silent(q->desk, t->address),
                      .attempt_id = attempt_id,
                      .on_head = take_stream_head,
                      .on_data = NULL,
@@ -734,15 +738,15 @@
     HcClient *c = desk_take_client(q->desk);
     hc_call(c, &req, &a->res);
     free(resuming);
-    judge_attempt(q, t, a);
+    set_result(q, t, a);
     if (a->res.end == HC_BROKEN && a->end.done == RT_OUTCOME_BROKEN) {
-        a->broken_open = true;
-        a->end.died = is_refused(q->desk, c, t->address);
+        a->connection_broke = true;
+        a->end.died = has_process_died(q->desk, c, t->address);
     }
     desk_return_client(q->desk, c);
 }
 
-/* The answer as it is recorded; one that is not kept goes without body. */
+/* Fills in the answer to record; a too large one is recorded without body. */
 static void
 fill_result(const Req *q, const Attempt *a, DeskEvent *e)
 {
@@ -768,7 +772,7 @@
     e->id = q->id;
     e->end = a->end;
     e->used = q->tokens_sent;
-    e->broken_open = a->broken_open;
+    e->connection_broke = a->connection_broke;
     e->upstream = g_strdup(a->upstream);
     fill_result(q, a, e);
     node_post_wait(desk_get_node(q->desk), e);
@@ -797,7 +801,7 @@
     return (int)res->status;
 }
 
-/* Final: the same request would only kill the next upstream. */
+/* Not retryable: an equal request would kill the next upstream. */
 static int
 send_quarantined(Req *q, const char *outcome)
 {
@@ -848,7 +852,7 @@
     return (int)r->status;
 }
 
-/* What became of this key, as far as the log knows. */
+/* Answers by the recorded state of the key. */
 static int
 send_once(Req *q, const OnceReply *r)
 {
@@ -883,18 +887,18 @@
     if (t->quarantined) {
         return send_quarantined(q, "failed-may-have-run");
     }
-    return send_error(q, get_left(q) > 1 ? 502 : 504, "failed-may-have-run",
-                      "failed",
+    return send_error(q, get_remaining_ms(q) > 1 ? 502 : 504,
+                      "failed-may-have-run", "failed",
                       "the upstream did not answer; the call may have run", 0);
 }
 
-/* Make the attempt that was decided.  True: the request is over. */
+/* Makes the attempt that T describes.  True: the request is answered. */
 static bool
 serve_attempt(Req *q, const Ticket *t, int *status)
 {
     Attempt a = {0};
     run_attempt(q, t, &a);
-    /* The result goes towards the log before the caller has it. */
+    /* The result is queued for the log before the caller gets it. */
     post_done(q, &a);
     bool over = true;
     if (a.end.done == RT_OUTCOME_OK) {
@@ -911,7 +915,7 @@
     return over;
 }
 
-/* Decision after decision until one is final. */
+/* Carries out the core's decisions until one is final. */
 static int
 run_request(Req *q)
 {
@@ -945,8 +949,8 @@
     }
 }
 
-/* When the answer must be there: the template's wait, or less if the caller
-   says so.  False after a refusal. */
+/* Sets the deadline: by the template's wait_ms, or earlier if the caller asks
+   for it.  False: refused, and STATUS is set. */
 static bool
 set_deadline(Req *q, uint32_t wait_ms, int *status)
 {
@@ -1061,7 +1065,8 @@
     return refuse_call(q, 404, "not_found", "no such path");
 }
 
-/* Keep the caller's id if it is short and plain, else make one. */
+/* The caller's id if it is short and has only plain characters, else a new
+   one. */
 static char *
 make_caller_id(const Req *q)
 {
--- a/src/req.h
+++ b/src/req.h
@@ -1,9 +1,10 @@
-/* req: the life of one caller's request, on its own HTTP thread: who asks,
-   what for, the core's decision, the call to the upstream, the answer.
+/* req: handles one client request on its HTTP thread: authentication,
+   parsing, waiting for the core thread's decisions, the call to the upstream,
+   and the answer.
 
    Every answer carries X-Bglade-Outcome: answered, streaming,
-   refused-not-run or failed-may-have-run.  "Not run" is said only when no
-   byte reached an upstream or the upstream itself said so. */
+   refused-not-run or failed-may-have-run.  Refused-not-run is sent only if no
+   byte reached an upstream or the upstream reported that it ran nothing. */
 #ifndef REQ_H
 #define REQ_H
 
@@ -11,7 +12,7 @@
 
 struct mg_connection;
 
-/* Answer CONN, or return 0 when the path is not ours. */
+/* Answers CONN and returns the HTTP status; 0: not a path of this module. */
 int req_handle(Desk *d, struct mg_connection *conn);
 
 #endif
