--- a/src/desk.c
+++ b/src/desk.c
@@ -243,7 +243,7 @@
                uint64_t *retry_after_ms)
 {
     uint32_t tokens = r->model ? r->cost : 0;
-    if (!lim_take(d->lim, now_ms, r->workspace, tokens, retry_after_ms)) {
+    if (!lim_admit(d->lim, now_ms, r->workspace, tokens, retry_after_ms)) {
         return false;
     }
     Reservation *h = g_new0(Reservation, 1);
@@ -261,8 +261,8 @@
     const Reservation *h = g_hash_table_lookup(d->reservations, &id);
     if (h) {
         uint64_t now_ms = bg_now_ms();
-        lim_give(d->lim, now_ms, h->workspace, h->tokens, used,
-                 now_ms - h->start_ms);
+        lim_release(d->lim, now_ms, h->workspace, h->tokens, used,
+                    now_ms - h->start_ms);
         g_hash_table_remove(d->reservations, &id);
     }
 }
--- a/src/fq.c
+++ b/src/fq.c
@@ -2,9 +2,10 @@
 
 #include <string.h>
 
-/* One workspace's items of one priority.  Kept while it is empty as long as
-   its finish tag lies ahead: a workspace that never has two items waiting
-   would else start afresh each time and be served out of turn. */
+/* One workspace's items of one priority.  An empty lane is kept while its
+   finish tag is ahead of the virtual time: otherwise a workspace that never
+   has two items queued would lose its tag each time and be served too
+   often. */
 struct FqLane {
     char *owner;
     uint64_t finish; /* tag of the last item served, plus its cost */
@@ -112,9 +113,9 @@
     return NULL;
 }
 
-/* Empty lanes whose finish tag has been passed say nothing any more. */
+/* Removes empty lanes whose finish tag no longer matters. */
 static void
-drop_idle_lanes(Level *level)
+remove_idle_lanes(Level *level)
 {
     for (guint i = level->lanes->len; i-- > 0;) {
         const FqLane *lane = level->lanes->pdata[i];
@@ -138,7 +139,7 @@
         uint64_t start = get_start(level, lane);
         lane->finish = start + MAX(n->cost, 1);
         level->virtual_time = start;
-        drop_idle_lanes(level);
+        remove_idle_lanes(level);
     }
 }
 
--- a/src/hc.c
+++ b/src/hc.c
@@ -10,11 +10,12 @@
 
 #define POLL_MS 20
 #define DEFAULT_MAX_BODY (16u * 1024 * 1024)
-/* A pooled connection idle for longer may have been forgotten by a device in
-   between; it is not used again. */
+/* Pooled connections idle for longer are not used again: a network device may
+   have dropped their state. */
 #define MAX_IDLE_MS 30000u
 #define MAX_LIFE_S 300L
-/* Bytes that no one acknowledges for so long go nowhere. */
+/* TCP_USER_TIMEOUT: the connection is dead if sent bytes are unacknowledged
+   for so long. */
 #define UNACKED_MS 5000
 #define MAX_POOLED 16L
 
@@ -22,14 +23,14 @@
     CURLM *multi;
 };
 
-/* One call under way. */
+/* A call in progress. */
 typedef struct {
     const HcRequest *req;
     HcResult *out;
     CURL *easy;
     uint64_t start_ms;
     uint64_t last_byte_ms;
-    bool head_told;
+    bool head_reported;
     bool stopped;
     bool too_large;
 } Call;
@@ -105,8 +106,9 @@
     }
 }
 
-/* A device in between or a confused upstream may hand one call the answer of
-   another; the caller would read a stranger's text.  The id tells. */
+/* Whether the answer belongs to another call, by its X-Attempt-Id.  A proxy
+   or a faulty upstream may mix up answers, and the caller would get another
+   caller's text. */
 static bool
 is_crossed(const Call *call, const char *line, size_t len)
 {
@@ -134,12 +136,12 @@
 }
 
 static bool
-tell_head(Call *call)
+report_head(Call *call)
 {
-    if (call->head_told) {
+    if (call->head_reported) {
         return true;
     }
-    call->head_told = true;
+    call->head_reported = true;
     curl_easy_getinfo(call->easy, CURLINFO_RESPONSE_CODE, &call->out->status);
     return !call->req->on_head ||
            call->req->on_head(call->req->ctx, call->out->status,
@@ -155,7 +157,7 @@
         call->req->max_body ? call->req->max_body : DEFAULT_MAX_BODY;
     call->last_byte_ms = bg_now_ms();
     call->out->got_bytes += len;
-    if (!tell_head(call)) {
+    if (!report_head(call)) {
         call->stopped = true;
         return 0;
     }
@@ -186,8 +188,8 @@
 set_connection(CURL *e, const HcRequest *req)
 {
     if (req->fresh || req->renew || req->pair_first) {
-        /* On a pooled connection that proves dead curl sends the request
-           a second time by itself; on a fresh one it never does. */
+        /* If a pooled connection turns out to be dead, curl sends the request
+           again by itself; on a new connection it does not. */
         curl_easy_setopt(e, CURLOPT_FRESH_CONNECT, 1L);
     }
     if (req->fresh || req->pair_second) {
@@ -256,7 +258,7 @@
     return headers;
 }
 
-/* Which limit has passed; HC_DONE when none. */
+/* The result if the call is cancelled or a timeout passed, else HC_DONE. */
 static HcEnd
 check_limits(const Call *call)
 {
@@ -279,7 +281,7 @@
                : HC_DONE;
 }
 
-/* Whether bytes of the request may have reached the other side. */
+/* Whether bytes of the request may have reached the server. */
 static bool
 was_sent(const Call *call)
 {
@@ -292,7 +294,7 @@
 classify_code(Call *call, CURLcode code)
 {
     if (code == CURLE_OK) {
-        return tell_head(call) ? HC_DONE : HC_CANCELLED;
+        return report_head(call) ? HC_DONE : HC_CANCELLED;
     }
     if (call->too_large) {
         return HC_TOO_LARGE;
@@ -366,8 +368,8 @@
     long os_error = 0;
     curl_easy_getinfo(call.easy, CURLINFO_OS_ERRNO, &os_error);
     out->refused = out->end == HC_NOT_SENT && os_error == ECONNREFUSED;
-    /* Removing an unfinished transfer closes its connection, so a late
-       answer can never be read by the next call. */
+    /* Removing an unfinished transfer closes its connection, so the next call
+       can't read a late answer. */
     curl_multi_remove_handle(c->multi, call.easy);
     curl_easy_cleanup(call.easy);
     curl_slist_free_all(headers);
--- a/src/hc.h
+++ b/src/hc.h
@@ -1,6 +1,6 @@
-/* hc: HTTP client calls, one at a time on the calling thread, with a limit
-   on every phase.  An HcClient keeps its own connections and belongs to one
-   thread at a time. */
+/* hc: blocking HTTP client calls on the calling thread, with a timeout for
+   every phase.  An HcClient has its own connection pool and may be used by
+   one thread at a time. */
 #ifndef HC_H
 #define HC_H
 
@@ -10,30 +10,30 @@
     HC_DONE,      /* the whole answer was received */
     HC_NOT_SENT,  /* no byte of the request left this process */
     HC_BROKEN,    /* the connection failed after bytes were sent */
-    HC_TIMEOUT,   /* a phase took longer than its limit */
-    HC_CANCELLED, /* is_cancelled or a callback said stop */
-    HC_TOO_LARGE  /* the collected body passed max_body */
+    HC_TIMEOUT,   /* a phase exceeded its timeout after bytes were sent */
+    HC_CANCELLED, /* by is_cancelled or a callback */
+    HC_TOO_LARGE  /* the collected body exceeds max_body */
 } HcEnd;
 
 typedef struct {
     const char *method;
     const char *url;
-    const char *const *headers; /* "Name: value", NULL-ended; may be NULL */
+    const char *const *headers; /* "Name: value", NULL-terminated, or NULL */
     const void *body;           /* NULL: none */
     size_t body_len;
     uint32_t connect_ms;
-    uint32_t first_byte_ms; /* from start to the answer's first byte */
+    uint32_t first_byte_ms; /* from the start to the answer's first byte */
     uint32_t idle_ms;       /* between bytes of the answer */
     uint32_t total_ms;
     size_t max_body;      /* of a collected body; 0: 16 MiB */
     uint32_t max_idle_ms; /* of a pooled connection; 0: 30 s */
     bool fresh;           /* new connection, closed after use, never retried */
     bool renew;           /* new connection, pooled after use */
-    /* Sent as X-Attempt-Id.  An answer that carries another one belongs to
-       another call: it is broken.  NULL: none. */
+    /* Sent as X-Attempt-Id; NULL: none.  An answer with a different one
+       belongs to another call: the result is HC_BROKEN. */
     const char *attempt_id;
-    /* Two calls over one connection, and so to one life of the far process:
-       the first opens it, the second uses no other and closes it. */
+    /* Two calls over one connection, and so to the same run of the remote
+       process: the first opens it, the second uses no other and closes it. */
     bool pair_first;
     bool pair_second;
 
@@ -46,7 +46,7 @@
 
 typedef struct {
     HcEnd end;
-    bool refused; /* NOT_SENT: nobody listens at the address */
+    bool refused; /* NOT_SENT: connection refused */
     long status;  /* 0: no status line was received */
     char *content_type;
     char *retry_after;    /* header, or NULL */
@@ -54,21 +54,21 @@
     char *outcome;        /* X-Bglade-Outcome header, or NULL */
     GString *body;        /* collected when on_data is NULL */
     uint64_t got_bytes;   /* of the answer's body */
-    bool framed;  /* its length was told: by header, chunks or status */
-    bool reused;  /* a pooled connection carried it */
-    bool crossed; /* it carried another call's X-Attempt-Id */
+    bool framed;  /* its length is defined by header, chunks or status */
+    bool reused;  /* made over a pooled connection */
+    bool crossed; /* the answer had another call's X-Attempt-Id */
 } HcResult;
 
 typedef struct HcClient HcClient;
 
 HcClient *hc_create(void);
 void hc_destroy(HcClient *c);
-/* Make one call.  Free OUT with hc_free_result. */
+/* Makes one call.  Free OUT with hc_free_result. */
 void hc_call(HcClient *c, const HcRequest *req, HcResult *out);
 void hc_free_result(HcResult *r);
 const char *hc_end_name(HcEnd end);
 
-/* Call once in a process, before threads start, and once at its end. */
+/* Called once in a process, before threads start, and once at its end. */
 void hc_init_process(void);
 void hc_end_process(void);
 
--- a/src/lim.c
+++ b/src/lim.c
@@ -2,19 +2,19 @@
 
 #include <string.h>
 
-#define LEASE_MARGIN_MS 500 /* clocks of two VMs may run apart by so much */
-#define ASK_PAUSE_MS 200
+#define LEASE_MARGIN_MS 500 /* max. clock drift between VMs in a lease */
+#define MIN_ASK_INTERVAL_MS 200
 #define DEMAND_WINDOW_MS 1000
 #define MIN_RETRY_MS 1000
 
-/* Lent by one router. */
+/* A loan from one router. */
 typedef struct {
     uint64_t ask_id;
     uint64_t amount;
     uint64_t expires_ms;
 } Borrowed;
 
-/* Lent to one router; it may still use it. */
+/* A loan to one router, which may use it until until_ms. */
 typedef struct {
     char *to;
     uint64_t amount;
@@ -24,16 +24,16 @@
 /* One limit of one workspace. */
 typedef struct {
     uint64_t home; /* share, LIM_UNIT */
-    int64_t level; /* of the bucket; below 0: in debt */
+    int64_t level; /* of the bucket; negative: debt */
     uint64_t refilled_ms;
-    uint64_t in_use;      /* CONCURRENCY: requests in flight */
-    uint64_t hold_ms;     /* CONCURRENCY: mean time of one */
-    uint64_t wanted;      /* units asked for in this window */
-    uint64_t demand;      /* the same in the last window, per period */
-    uint64_t window_ms;   /* its start */
-    GHashTable *borrowed; /* lender -> Borrowed */
-    GArray *lent;         /* Lent */
-    uint64_t ask_id;      /* of the ask under way */
+    uint64_t in_use;          /* CONCURRENCY: requests in flight */
+    uint64_t mean_run_ms;     /* CONCURRENCY: mean duration of a request */
+    uint64_t window_demand;   /* demand in the current window */
+    uint64_t demand;          /* in the last window, scaled to a period */
+    uint64_t window_start_ms; /* start of the current window */
+    GHashTable *borrowed;     /* lender -> Borrowed */
+    GArray *lent;             /* Lent */
+    uint64_t ask_id;          /* of the last ask */
     uint64_t asked_ms;
 } Limit;
 
@@ -50,9 +50,9 @@
     GHashTable *accounts; /* workspace -> Account */
 };
 
-/* A bucket fills by its share in this time. */
+/* Time in which a bucket is filled by one share. */
 static const uint64_t periods_ms[LIM_KINDS] = {1000, 60000, 1};
-/* A bucket holds what comes in this time: how long a burst may be. */
+/* Capacity of a bucket, as the time in which it fills. */
 static const uint64_t bursts_ms[LIM_KINDS] = {2000, 10000, 1};
 
 /* ---- life --------------------------------------------------------------- */
@@ -84,7 +84,7 @@
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
         m->lent = g_array_new(FALSE, TRUE, sizeof(Lent));
         g_array_set_clear_func(m->lent, clear_lent);
-        m->refilled_ms = m->window_ms = now_ms;
+        m->refilled_ms = m->window_start_ms = now_ms;
     }
     return a;
 }
@@ -96,7 +96,7 @@
     l->params = *params;
     l->out = *out;
     l->started_ms = now_ms;
-    /* Ids of a process's former life must not match. */
+    /* Differs from the ids of an earlier process on this VM. */
     l->next_ask = now_ms << 20;
     l->accounts =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_account);
@@ -222,35 +222,36 @@
 {
     uint64_t share = get_share(l, m, now_ms);
     uint64_t added = share * (now_ms - m->refilled_ms) / periods_ms[kind];
-    /* Room for one request at least, or a small share would never pass
-       any; the rate stays the share's. */
-    uint64_t most = MAX(share * bursts_ms[kind] / periods_ms[kind], LIM_UNIT);
+    /* Capacity for at least one request, as with a small share no request
+       would ever pass; the rate is not affected. */
+    uint64_t capacity =
+        MAX(share * bursts_ms[kind] / periods_ms[kind], LIM_UNIT);
     if (added > 0) {
-        m->level = MIN(m->level + (int64_t)added, (int64_t)most);
+        m->level = MIN(m->level + (int64_t)added, (int64_t)capacity);
         m->refilled_ms = now_ms;
     }
 }
 
-/* Until the bucket has NEED. */
+/* Time until the bucket's level is NEED. */
 static uint64_t
 get_fill_time(const Lim *l, Limit *m, LimKind kind, uint64_t now_ms,
               int64_t need)
 {
     uint64_t share = get_share(l, m, now_ms);
-    uint64_t lack = need > m->level ? (uint64_t)(need - m->level) : 0;
-    return lack * periods_ms[kind] / (share ? share : 1) + 1;
+    uint64_t missing = need > m->level ? (uint64_t)(need - m->level) : 0;
+    return missing * periods_ms[kind] / (share ? share : 1) + 1;
 }
 
 static void
 note_demand(Limit *m, LimKind kind, uint64_t now_ms, uint64_t units)
 {
-    uint64_t window_ms = now_ms - m->window_ms;
+    uint64_t window_ms = now_ms - m->window_start_ms;
     if (window_ms >= DEMAND_WINDOW_MS) {
-        m->demand = m->wanted * periods_ms[kind] / window_ms;
-        m->wanted = 0;
-        m->window_ms = now_ms;
+        m->demand = m->window_demand * periods_ms[kind] / window_ms;
+        m->window_demand = 0;
+        m->window_start_ms = now_ms;
     }
-    m->wanted += units * LIM_UNIT;
+    m->window_demand += units * LIM_UNIT;
 }
 
 /* ---- borrowing and lending ---------------------------------------------- */
@@ -261,8 +262,8 @@
     if (kind == LIM_CONCURRENCY) {
         return m->in_use * LIM_UNIT;
     }
-    return now_ms - m->window_ms < 2 * DEMAND_WINDOW_MS
-               ? MAX(m->demand, m->wanted)
+    return now_ms - m->window_start_ms < 2 * DEMAND_WINDOW_MS
+               ? MAX(m->demand, m->window_demand)
                : 0;
 }
 
@@ -270,7 +271,7 @@
 ask_for_more(Lim *l, const char *workspace, Limit *m, LimKind kind,
              uint64_t now_ms)
 {
-    if (l->peers == 0 || now_ms < m->asked_ms + ASK_PAUSE_MS) {
+    if (l->peers == 0 || now_ms < m->asked_ms + MIN_ASK_INTERVAL_MS) {
         return;
     }
     Bg__LimitAsk ask = BG__LIMIT_ASK__INIT;
@@ -279,49 +280,51 @@
     ask.workspace = (char *)workspace;
     ask.kind = (uint32_t)kind;
     ask.ask_id = m->ask_id;
-    /* Each of the others is asked for its part of what is used beyond the
-       home share, and some more, so that growth is not held up. */
+    /* Each peer is asked for an equal part of the use beyond the home share,
+       plus a reserve for growing demand. */
     uint64_t use = get_demand(m, kind, now_ms);
     uint64_t more = use > m->home ? use - m->home : 0;
     ask.amount = (more + m->home / 2 + LIM_UNIT) / l->peers + 1;
     l->out.ask(l->out.ctx, &ask);
 }
 
-/* Ask early: a share that is nearly used up, or a loan about to end. */
+/* Asks before the share is used up or the loans end. */
 static void
-keep_supplied(Lim *l, const char *workspace, Limit *m, LimKind kind,
+ask_if_scarce(Lim *l, const char *workspace, Limit *m, LimKind kind,
               uint64_t now_ms)
 {
     uint64_t use = get_demand(m, kind, now_ms);
     bool scarce = use > m->home / 2 && use + use / 4 > get_share(l, m, now_ms);
-    bool ending =
+    bool expiring =
         use > m->home && now_ms > m->asked_ms + l->params.lease_ms / 2;
-    if (scarce || ending) {
+    if (scarce || expiring) {
         ask_for_more(l, workspace, m, kind, now_ms);
     }
 }
 
-/* The borrower replaces an earlier loan of ours by the new one, but may not
-   hear of it: until the earlier one has ended, the larger of both counts. */
+/* Removes the earlier loans to TO and returns the largest amount.  The
+   borrower replaces them by the new loan, but the message may be lost: so the
+   larger of both amounts is counted. */
 static uint64_t
-replace_lent(Limit *m, const char *to, uint64_t now_ms)
+remove_loans_to(Limit *m, const char *to, uint64_t now_ms)
 {
-    uint64_t most = 0;
+    uint64_t max_amount = 0;
     for (guint i = m->lent->len; i-- > 0;) {
         const Lent *lent = &g_array_index(m->lent, Lent, i);
         if (strcmp(lent->to, to) == 0 && lent->until_ms > now_ms) {
-            most = MAX(most, lent->amount);
+            max_amount = MAX(max_amount, lent->amount);
             g_array_remove_index_fast(m->lent, i);
         }
     }
-    return most;
+    return max_amount;
 }
 
 static void
-lend(const Lim *l, Limit *m, const char *to, uint64_t now_ms, uint64_t before,
-     uint64_t amount)
+lend(const Lim *l, Limit *m, const char *to, uint64_t now_ms,
+     uint64_t previous, uint64_t amount)
 {
-    Lent lent = {g_strdup(to), MAX(before, amount), get_lease_end(l, now_ms)};
+    Lent lent = {g_strdup(to), MAX(previous, amount),
+                 get_lease_end(l, now_ms)};
     g_array_append_val(m->lent, lent);
 }
 
@@ -334,14 +337,14 @@
         return;
     }
     Limit *m = &a->limits[ask->kind];
-    uint64_t before = replace_lent(m, from, now_ms);
+    uint64_t previous = remove_loans_to(m, from, now_ms);
     uint64_t lent = sum_lent(l, m, now_ms);
     uint64_t use = get_demand(m, (LimKind)ask->kind, now_ms);
     uint64_t keep = MAX(m->home - m->home / 2, use + use / 4);
     uint64_t spare = m->home > keep + lent ? m->home - keep - lent : 0;
     uint64_t amount = MIN(spare, ask->amount);
-    if (MAX(before, amount) > 0) {
-        lend(l, m, from, now_ms, before, amount);
+    if (MAX(previous, amount) > 0) {
+        lend(l, m, from, now_ms, previous, amount);
     }
     if (amount > 0) {
         Bg__LimitLoan loan = BG__LIMIT_LOAN__INIT;
@@ -362,12 +365,12 @@
         return;
     }
     Limit *m = &a->limits[loan->kind];
-    /* Only the answer to the last ask has a known start of its lease. */
+    /* The start of the lease is known only for the answer to the last ask. */
     if (loan->ask_id != m->ask_id ||
         now_ms >= m->asked_ms + l->params.lease_ms) {
         return;
     }
-    /* What was earned at the old share is counted at the old share. */
+    /* Refills at the old share for the time up to now. */
     refill(l, m, (LimKind)loan->kind, now_ms);
     Borrowed *b = g_new0(Borrowed, 1);
     b->ask_id = loan->ask_id;
@@ -379,7 +382,7 @@
 /* ---- requests ----------------------------------------------------------- */
 
 static bool
-has_room(Lim *l, Account *a, uint64_t now_ms, LimKind *lacks,
+has_room(Lim *l, Account *a, uint64_t now_ms, LimKind *exhausted,
          uint64_t *retry_after_ms)
 {
     Limit *r = &a->limits[LIM_REQUESTS];
@@ -388,42 +391,42 @@
     refill(l, r, LIM_REQUESTS, now_ms);
     refill(l, t, LIM_TOKENS, now_ms);
     if (r->level < LIM_UNIT) {
-        *lacks = LIM_REQUESTS;
-        *retry_after_ms = get_fill_time(l, r, *lacks, now_ms, LIM_UNIT);
+        *exhausted = LIM_REQUESTS;
+        *retry_after_ms = get_fill_time(l, r, *exhausted, now_ms, LIM_UNIT);
         return false;
     }
-    /* How many tokens a request makes is known when it ends: one is let in
-       as long as the bucket is not empty, and may run into debt. */
+    /* The number of tokens is known only at the end of a request: it is
+       admitted while the bucket is not empty and may drive it into debt. */
     if (t->level <= 0) {
-        *lacks = LIM_TOKENS;
-        *retry_after_ms = get_fill_time(l, t, *lacks, now_ms, 1);
+        *exhausted = LIM_TOKENS;
+        *retry_after_ms = get_fill_time(l, t, *exhausted, now_ms, 1);
         return false;
     }
     if ((n->in_use + 1) * LIM_UNIT > get_share(l, n, now_ms)) {
-        *lacks = LIM_CONCURRENCY;
-        *retry_after_ms = n->hold_ms / MAX(n->in_use, 1);
+        *exhausted = LIM_CONCURRENCY;
+        *retry_after_ms = n->mean_run_ms / MAX(n->in_use, 1);
         return false;
     }
     return true;
 }
 
 bool
-lim_take(Lim *l, uint64_t now_ms, const char *workspace, uint32_t tokens,
-         uint64_t *retry_after_ms)
+lim_admit(Lim *l, uint64_t now_ms, const char *workspace, uint32_t tokens,
+          uint64_t *retry_after_ms)
 {
     Account *a = find_account(l, workspace);
     if (!a) {
-        return true; /* its configuration comes in force just now */
+        return true; /* its configuration has only just come into force */
     }
     note_demand(&a->limits[LIM_REQUESTS], LIM_REQUESTS, now_ms, 1);
     note_demand(&a->limits[LIM_TOKENS], LIM_TOKENS, now_ms, tokens);
     for (int k = 0; k < LIM_KINDS; k++) {
-        keep_supplied(l, workspace, &a->limits[k], (LimKind)k, now_ms);
+        ask_if_scarce(l, workspace, &a->limits[k], (LimKind)k, now_ms);
     }
-    LimKind lacks;
-    if (!has_room(l, a, now_ms, &lacks, retry_after_ms)) {
+    LimKind exhausted;
+    if (!has_room(l, a, now_ms, &exhausted, retry_after_ms)) {
         *retry_after_ms = MAX(*retry_after_ms, MIN_RETRY_MS);
-        ask_for_more(l, workspace, &a->limits[lacks], lacks, now_ms);
+        ask_for_more(l, workspace, &a->limits[exhausted], exhausted, now_ms);
         bg_count("router_limited_total", 1);
         return false;
     }
@@ -434,8 +437,8 @@
 }
 
 void
-lim_give(Lim *l, uint64_t now_ms, const char *workspace, uint32_t tokens,
-         uint32_t used, uint64_t held_ms)
+lim_release(Lim *l, uint64_t now_ms, const char *workspace, uint32_t tokens,
+            uint32_t used, uint64_t held_ms)
 {
     (void)now_ms;
     Account *a = find_account(l, workspace);
@@ -444,7 +447,7 @@
     }
     Limit *n = &a->limits[LIM_CONCURRENCY];
     n->in_use--;
-    n->hold_ms = (n->hold_ms * 3 + held_ms) / 4;
+    n->mean_run_ms = (n->mean_run_ms * 3 + held_ms) / 4;
     a->limits[LIM_TOKENS].level +=
         ((int64_t)tokens - (int64_t)used) * LIM_UNIT;
 }
--- a/src/once.c
+++ b/src/once.c
@@ -6,19 +6,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Attempts in memory, with endings that the log has not shown yet. */
+/* Attempts in memory, including those whose final record was not yet seen in
+   the log. */
 #define MAX_ATTEMPTS 8192
-/* A claim expires so long after its call's deadline: the time in which a
-   result that came at the last moment is recorded. */
+/* From a call's deadline to the expiry of its claim: time to record a result
+   that came just before the deadline. */
 #define EXPIRY_MARGIN_MS 5000
 #define RETRY_AFTER_MS 1000
-#define APPEND_AGAIN_MS 1000
+#define APPEND_RETRY_MS 1000
 
 typedef enum {
-    CLAIMING, /* claim appended, outcome not seen */
-    HELD,     /* holds the key; no byte has gone out */
-    SENT,     /* bytes may have gone out */
-    ENDING    /* ended; its record has not been seen in the fold */
+    CLAIMING, /* claim appended, its result not seen */
+    HELD,     /* holds the key; no byte was sent */
+    SENT,     /* bytes may have been sent */
+    ENDING    /* ended; its final record was not yet seen in the fold */
 } AttemptState;
 
 typedef struct {
@@ -29,9 +30,9 @@
     char *pair; /* "workspace\nkey" */
     char *attempt_id;
     uint8_t digest[32];
-    uint64_t claim_until_ms; /* CLAIMING: settled by then or given up */
-    Bg__Record *ending;      /* ENDING */
-    uint64_t append_at_ms;   /* ENDING: when it is appended (again) */
+    uint64_t claim_deadline_ms; /* CLAIMING: timeout */
+    Bg__Record *ending;         /* ENDING: the final record */
+    uint64_t append_at_ms;      /* ENDING: when it is appended (again) */
 } Attempt;
 
 struct OnceCore {
@@ -98,7 +99,7 @@
     a->pair = g_strconcat(call->workspace, "\n", call->key, NULL);
     a->attempt_id = g_strdup(call->attempt_id);
     memcpy(a->digest, call->digest, sizeof(a->digest));
-    a->claim_until_ms =
+    a->claim_deadline_ms =
         MIN(now_ms + c->params.claim_wait_ms, call->deadline_ms);
     g_hash_table_insert(c->by_attempt, a->attempt_id, a);
     g_hash_table_insert(c->by_id, &a->id, a);
@@ -167,15 +168,15 @@
     return r;
 }
 
-/* Append the ending, and again until the fold has shown it: an append that
-   was given up would leave a call that ran without its answer, or a key that
-   was never used without its release. */
+/* Appends the final record, repeatedly until it is seen in the fold.  If it
+   were lost, a call that ran would have no answer, or an unused key would not
+   be released. */
 static void
 append_ending(OnceCore *c, Attempt *a, uint64_t now_ms)
 {
     bool queued = c->out.append(c->out.ctx, rec_copy(a->ending));
     a->append_at_ms =
-        now_ms + (queued ? c->params.resend_ms : APPEND_AGAIN_MS);
+        now_ms + (queued ? c->params.resend_ms : APPEND_RETRY_MS);
 }
 
 static void
@@ -206,7 +207,7 @@
     c->out.decide(c->out.ctx, id, &d);
 }
 
-/* The answer is already there, in a record of the log or one on its way. */
+/* Replays an answer whose record was not yet seen in the log. */
 static void
 replay_record(OnceCore *c, uint64_t id, const Bg__KeyRecord *k)
 {
@@ -233,10 +234,10 @@
     c->out.decide(c->out.ctx, id, &d);
 }
 
-/* What the fold says to a call whose key it knows. */
+/* Decides on a call whose key is in the fold. */
 static void
-judge_entry(OnceCore *c, uint64_t wall_ms, uint64_t id,
-            const uint8_t digest[32], const KeyEntry *k)
+decide_by_entry(OnceCore *c, uint64_t wall_ms, uint64_t id,
+                const uint8_t digest[32], const KeyEntry *k)
 {
     if (memcmp(k->request_digest, digest, 32) != 0) {
         decide(c, id, ONCE_MISMATCH);
@@ -248,8 +249,8 @@
         decide(c, id, ONCE_MAY_HAVE_RUN);
     }
     else {
-        /* A holder that died or is paused records nothing.  Its call may
-           have run or may still run: it is never run again. */
+        /* A holder that died or is paused does not record an outcome.  Its
+           call may have run or may still run, so it must not run again. */
         bool expired = wall_ms > k->expires_wall_ms;
         decide(c, id, expired ? ONCE_MAY_HAVE_RUN : ONCE_IN_PROGRESS);
     }
@@ -262,9 +263,10 @@
            a->ending->key->step == BG__KEY_STEP__KEY_RELEASE;
 }
 
-/* What this router knows before the log shows it. */
+/* Decides on a call whose key an attempt of this router uses, before its
+   records are seen in the log. */
 static void
-judge_attempt(OnceCore *c, const OnceCall *call, const Attempt *a)
+decide_by_attempt(OnceCore *c, const OnceCall *call, const Attempt *a)
 {
     if (memcmp(a->digest, call->digest, 32) != 0) {
         decide(c, call->id, ONCE_MISMATCH);
@@ -280,22 +282,22 @@
     }
 }
 
-/* True when CALL got its decision from what is known already. */
+/* Decides on CALL if its key is known; false: the key is free. */
 static bool
-judge_known(OnceCore *c, uint64_t wall_ms, const OnceCall *call)
+decide_if_known(OnceCore *c, uint64_t wall_ms, const OnceCall *call)
 {
     g_autofree char *pair =
         g_strconcat(call->workspace, "\n", call->key, NULL);
     const Attempt *a = g_hash_table_lookup(c->by_pair, pair);
     if (a && !is_released(a)) {
-        judge_attempt(c, call, a);
+        decide_by_attempt(c, call, a);
         return true;
     }
     const KeyEntry *k = fold_find_key(c->fold, call->workspace, call->key);
     if (!k || (a && strcmp(k->attempt_id, a->attempt_id) == 0)) {
-        return false; /* free, or freed by our release on its way */
+        return false; /* free, or about to be released by this router */
     }
-    judge_entry(c, wall_ms, call->id, call->digest, k);
+    decide_by_entry(c, wall_ms, call->id, call->digest, k);
     return true;
 }
 
@@ -320,7 +322,7 @@
 once_on_begin(OnceCore *c, uint64_t now_ms, uint64_t wall_ms,
               const OnceCall *call)
 {
-    if (judge_known(c, wall_ms, call)) {
+    if (decide_if_known(c, wall_ms, call)) {
         return;
     }
     const char *why = find_refusal(c);
@@ -337,8 +339,8 @@
     }
 }
 
-/* The caller is told "not run" now; should the claim still win, nobody sends
-   for it, and the release behind it frees the key. */
+/* The caller gets "not run" now.  If the claim still wins, nothing is sent
+   for it, and the release appended here frees the key. */
 static void
 give_up_claim(OnceCore *c, Attempt *a, uint64_t now_ms, uint64_t wall_ms)
 {
@@ -349,12 +351,12 @@
 }
 
 static void
-take_claim_won(OnceCore *c, Attempt *a, uint64_t now_ms, uint64_t wall_ms)
+on_claim_won(OnceCore *c, Attempt *a, uint64_t now_ms, uint64_t wall_ms)
 {
     if (a->state != CLAIMING) {
         return;
     }
-    if (now_ms >= a->claim_until_ms) {
+    if (now_ms >= a->claim_deadline_ms) {
         give_up_claim(c, a, now_ms, wall_ms);
         return;
     }
@@ -363,10 +365,10 @@
 }
 
 static void
-take_claim_lost(OnceCore *c, Attempt *a, uint64_t wall_ms, const char *why)
+on_claim_lost(OnceCore *c, Attempt *a, uint64_t wall_ms, const char *why)
 {
     if (a->state != CLAIMING) {
-        return; /* a second copy of a claim that had won */
+        return; /* a duplicate of a claim that won */
     }
     uint64_t id = a->id;
     uint8_t digest[32];
@@ -374,7 +376,7 @@
     const KeyEntry *k = fold_find_key(c->fold, a->workspace, a->key);
     remove_attempt(c, a);
     if (k) {
-        judge_entry(c, wall_ms, id, digest, k);
+        decide_by_entry(c, wall_ms, id, digest, k);
     }
     else {
         refuse(c, id, why);
@@ -396,10 +398,10 @@
         return;
     }
     if (result == FOLD_WON) {
-        take_claim_won(c, a, now_ms, wall_ms);
+        on_claim_won(c, a, now_ms, wall_ms);
     }
     else {
-        take_claim_lost(c, a, wall_ms, why);
+        on_claim_lost(c, a, wall_ms, why);
     }
 }
 
@@ -449,7 +451,8 @@
 {
     Attempt *a = g_hash_table_lookup(c->by_id, &id);
     if (a) {
-        /* With bytes out nothing may be released, whoever says "not run". */
+        /* Once bytes may have been sent, the key must not be released, even
+           if the request is refused. */
         Bg__KeyStep step = a->state == SENT ? BG__KEY_STEP__KEY_UNKNOWN
                                             : BG__KEY_STEP__KEY_RELEASE;
         end_attempt(c, a, now_ms, make_record(c, a, step, wall_ms));
@@ -470,7 +473,7 @@
     g_hash_table_iter_init(&it, c->by_attempt);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         Attempt *a = p;
-        if (a->state == CLAIMING && now_ms >= a->claim_until_ms) {
+        if (a->state == CLAIMING && now_ms >= a->claim_deadline_ms) {
             give_up_claim(c, a, now_ms, wall_ms);
         }
         else if (a->state == ENDING && now_ms >= a->append_at_ms) {
--- a/tests/script_lim.c
+++ b/tests/script_lim.c
@@ -126,8 +126,8 @@
 run_take(Script *s, char **w)
 {
     uint64_t retry_ms;
-    if (lim_take(s->routers[get_number(w[1])].lim, s->now_ms, WORKSPACE,
-                 get_number(w[2]), &retry_ms)) {
+    if (lim_admit(s->routers[get_number(w[1])].lim, s->now_ms, WORKSPACE,
+                  get_number(w[2]), &retry_ms)) {
         puts("taken");
     }
     else {
@@ -138,8 +138,8 @@
 static void
 run_give(Script *s, char **w)
 {
-    lim_give(s->routers[get_number(w[1])].lim, s->now_ms, WORKSPACE,
-             get_number(w[2]), get_number(w[3]), 10);
+    lim_release(s->routers[get_number(w[1])].lim, s->now_ms, WORKSPACE,
+                get_number(w[2]), get_number(w[3]), 10);
 }
 
 static void
