--- a/src/fe.c
+++ b/src/fe.c
@@ -176,7 +176,7 @@
 
 /* ---- orders ------------------------------------------------------------- */
 
-/* Under the lock.  False: the order is older than one already taken. */
+/* Under the lock.  False: the order's fencing token is outdated. */
 static bool
 check_fence(const FakeEngines *f, Engine *e, const json_t *order)
 {
@@ -203,7 +203,7 @@
 
 /* Under the lock. */
 static void
-take_load(const FakeEngines *f, Engine *e, const json_t *order)
+apply_load(const FakeEngines *f, Engine *e, const json_t *order)
 {
     const char *name = get_text(order, "model");
     if (g_hash_table_contains(e->models, name)) {
@@ -221,9 +221,9 @@
     }
 }
 
-/* Under the lock.  NULL, or why the model stays. */
+/* Under the lock.  NULL, or why the model was not unloaded. */
 static const char *
-take_unload(Engine *e, const json_t *order)
+apply_unload(Engine *e, const json_t *order)
 {
     const char *name = get_text(order, "model");
     const Model *m = g_hash_table_lookup(e->models, name);
@@ -282,12 +282,12 @@
     }
     else if (strcmp(verb, "load") == 0) {
         status = 202;
-        take_load(f, e, order);
+        apply_load(f, e, order);
         answer = json_pack("{s:s, s:I}", "state", "loading", "seq",
                            (json_int_t)++e->seq);
     }
     else if (strcmp(verb, "unload") == 0) {
-        const char *why = take_unload(e, order);
+        const char *why = apply_unload(e, order);
         status = why ? 409 : 200;
         answer = why ? json_pack("{s:s}", "error", why)
                      : json_pack("{s:s, s:I}", "state", "absent", "seq",
@@ -355,8 +355,8 @@
     return g_string_free(text, FALSE);
 }
 
-/* Token I waits for its own instant, so that sleeps that run over do not
-   add up. */
+/* Waits until the time of token INDEX, computed from the start so that late
+   wake-ups don't add up. */
 static void
 wait_token(const Call *c, uint64_t start_us, uint32_t index)
 {
--- a/src/fl.c
+++ b/src/fl.c
@@ -20,12 +20,12 @@
     struct mg_context *http;
     pthread_mutex_t lock;
     pthread_cond_t changed;
-    GPtrArray *all; /* Entry, by offset from first */
+    GPtrArray *entries; /* Entry; the first one has offset first */
     uint64_t first;
     uint64_t appends;
     uint64_t reads;
     uint64_t bytes;
-    uint64_t next_turn_us; /* when the next append may take effect */
+    uint64_t next_append_us; /* when the next append may take effect */
     atomic_bool stopping;
 };
 
@@ -39,17 +39,17 @@
     g_free(e);
 }
 
-/* Wait for this append's turn under the rate, and the service's latency. */
+/* Delays an append by the rate limit and the simulated latency. */
 static void
-wait_turn(FakeLog *f)
+delay_append(FakeLog *f)
 {
     uint64_t now_us = bg_now_us();
     uint64_t until_us = now_us;
     if (f->params.rate) {
         pthread_mutex_lock(&f->lock);
-        f->next_turn_us =
-            MAX(f->next_turn_us, now_us) + 1000000u / f->params.rate;
-        until_us = f->next_turn_us;
+        f->next_append_us =
+            MAX(f->next_append_us, now_us) + 1000000u / f->params.rate;
+        until_us = f->next_append_us;
         pthread_mutex_unlock(&f->lock);
     }
     until_us += (uint64_t)f->params.latency_ms * 1000;
@@ -65,13 +65,13 @@
     e->data = g_memdup2(body->data, body->len);
     e->len = body->len;
     pthread_mutex_lock(&f->lock);
-    g_ptr_array_add(f->all, e);
+    g_ptr_array_add(f->entries, e);
     f->appends++;
     f->bytes += body->len;
-    uint64_t offset = f->first + f->all->len - 1;
-    /* Retention is cut in halves, so that an append stays cheap. */
-    if (f->params.keep && f->all->len >= 2 * f->params.keep) {
-        g_ptr_array_remove_range(f->all, 0, f->params.keep);
+    uint64_t offset = f->first + f->entries->len - 1;
+    /* Trims keep entries at a time, so that the cost per append is low. */
+    if (f->params.keep && f->entries->len >= 2 * f->params.keep) {
+        g_ptr_array_remove_range(f->entries, 0, f->params.keep);
         f->first += f->params.keep;
     }
     pthread_cond_broadcast(&f->changed);
@@ -79,7 +79,7 @@
     return offset;
 }
 
-/* Under the lock: until an entry at FROM is there or WAIT_MS are over. */
+/* Under the lock.  Waits up to WAIT_MS for an entry at FROM. */
 static void
 wait_entry(FakeLog *f, uint64_t from, uint32_t wait_ms)
 {
@@ -92,7 +92,7 @@
         until.tv_nsec -= 1000000000;
     }
     int waited = 0;
-    while (from >= f->first + f->all->len && waited != ETIMEDOUT &&
+    while (from >= f->first + f->entries->len && waited != ETIMEDOUT &&
            !atomic_load(&f->stopping)) {
         waited = pthread_cond_timedwait(&f->changed, &f->lock, &until);
     }
@@ -100,15 +100,16 @@
 
 /* Under the lock. */
 static void
-print_entries(const FakeLog *f, uint64_t from, uint32_t most, GString *out)
+print_entries(const FakeLog *f, uint64_t from, uint32_t max_entries,
+              GString *out)
 {
-    uint64_t next = f->first + f->all->len;
+    uint64_t next = f->first + f->entries->len;
     g_string_append_printf(out, "{\"first\":%llu,\"next\":%llu,\"records\":[",
                            (unsigned long long)f->first,
                            (unsigned long long)next);
-    for (uint64_t at = MAX(from, f->first); at < next && most > 0;
-         at++, most--) {
-        const Entry *e = f->all->pdata[at - f->first];
+    for (uint64_t at = MAX(from, f->first); at < next && max_entries > 0;
+         at++, max_entries--) {
+        const Entry *e = f->entries->pdata[at - f->first];
         g_autofree char *data = g_base64_encode(e->data, e->len);
         g_string_append_printf(out, "%s{\"offset\":%llu,\"data\":\"%s\"}",
                                at == MAX(from, f->first) ? "" : ",",
@@ -139,7 +140,7 @@
     while ((got = mg_read(conn, chunk, sizeof(chunk))) > 0) {
         g_byte_array_append(body, chunk, (guint)got);
     }
-    wait_turn(f);
+    delay_append(f);
     g_autofree char *text = g_strdup_printf(
         "{\"offset\":%llu}", (unsigned long long)append_entry(f, body));
     return reply(conn, 200, text);
@@ -161,13 +162,13 @@
 {
     const char *query = mg_get_request_info(conn)->query_string;
     uint64_t from = read_number(query, "from", 1);
-    uint32_t most = (uint32_t)read_number(query, "max", DEFAULT_MAX);
+    uint32_t max_entries = (uint32_t)read_number(query, "max", DEFAULT_MAX);
     g_autoptr(GString) text = g_string_new(NULL);
     pthread_mutex_lock(&f->lock);
     f->reads++;
     wait_entry(f, from, (uint32_t)read_number(query, "wait_ms", 0));
     int status = from < f->first ? 410 : 200;
-    print_entries(f, from, status == 200 ? most : 0, text);
+    print_entries(f, from, status == 200 ? max_entries : 0, text);
     pthread_mutex_unlock(&f->lock);
     return reply(conn, status, text->str);
 }
@@ -176,7 +177,7 @@
 serve_state(FakeLog *f, struct mg_connection *conn)
 {
     pthread_mutex_lock(&f->lock);
-    uint64_t next = f->first + f->all->len;
+    uint64_t next = f->first + f->entries->len;
     g_autofree char *text = g_strdup_printf(
         "{\"first\":%llu,\"next\":%llu,\"appends\":%llu,\"bytes\":%llu,"
         "\"reads\":%llu}",
@@ -211,7 +212,7 @@
     FakeLog *f = g_new0(FakeLog, 1);
     f->params = *params;
     f->first = 1;
-    f->all = g_ptr_array_new_with_free_func(free_entry);
+    f->entries = g_ptr_array_new_with_free_func(free_entry);
     pthread_mutex_init(&f->lock, NULL);
     pthread_condattr_t clock;
     pthread_condattr_init(&clock);
@@ -256,7 +257,7 @@
     if (f->http) {
         mg_stop(f->http);
     }
-    g_ptr_array_free(f->all, TRUE);
+    g_ptr_array_free(f->entries, TRUE);
     pthread_cond_destroy(&f->changed);
     pthread_mutex_destroy(&f->lock);
     g_free(f);
--- a/src/fl.h
+++ b/src/fl.h
@@ -1,6 +1,6 @@
-/* fl: a fast in-memory stand-in for the platform's append-only log, for
-   measurements.  The API is the one of lc.h; GET /test/state tells how many
-   appends and bytes there were. */
+/* fl: a fast in-memory simulator of the platform's append-only log, for
+   benchmarks.  It has the HTTP API described in lc.h; GET /test/state returns
+   the numbers of appends, reads and bytes. */
 #ifndef FL_H
 #define FL_H
 
@@ -8,15 +8,15 @@
 
 typedef struct {
     const char *listen;  /* IP:PORT */
-    uint32_t threads;    /* connections served at once */
-    uint32_t rate;       /* appends a second at most; 0: no limit */
-    uint32_t latency_ms; /* of an append, beside the wait for its turn */
-    uint32_t keep;       /* entries kept; 0: all */
+    uint32_t threads;    /* concurrent connections */
+    uint32_t rate;       /* max. appends per second; 0: no limit */
+    uint32_t latency_ms; /* of an append, after the wait due to rate */
+    uint32_t keep;       /* min. entries retained; 0: all */
 } FlParams;
 
 typedef struct FakeLog FakeLog;
 
-/* Listen and serve; NULL with ERR set when that fails. */
+/* Starts to serve; NULL: failed to listen, and ERR is set. */
 FakeLog *fl_start(const FlParams *params, GError **err);
 void fl_stop(FakeLog *f);
 
--- a/src/lc.c
+++ b/src/lc.c
@@ -10,13 +10,13 @@
 
 #define CONNECT_MS 500
 #define APPEND_MS 2000
-/* A frozen log is noticed after both together. */
+/* An unresponsive log is detected after the sum of both. */
 #define READ_WAIT_MS 500
 #define READ_MARGIN_MS 700
 #define PAGE_TOTAL_MS 10000
-#define SAME_PAGE_MS 100
-#define APPEND_DOUBT_MS 3000
-#define GATE_MS 10
+#define REPEAT_PAUSE_MS 100
+#define RECENT_FAILURE_MS 3000
+#define OPEN_POLL_MS 10
 #define BACKOFF_MIN_MS 50
 #define BACKOFF_MAX_MS 1000
 #define MAX_BATCH_RECORDS 512
@@ -30,7 +30,7 @@
     LogApi api; /* first member: the vtable */
     HcClient *http;
     char *base;
-    uint32_t page_entries; /* asked for; fewer when they are large */
+    uint32_t page_entries; /* requested; fewer if entries are large */
 } HttpLog;
 
 static bool
@@ -45,22 +45,22 @@
                      .body_len = len,
                      .connect_ms = CONNECT_MS,
                      .total_ms = APPEND_MS,
-                     /* On a kept connection the library sends the append
-                        again by itself when the first answer is lost; the
-                        second one's refusal would pass for "not done". */
+                     /* On a pooled connection curl sends the append again by
+                        itself if the first answer is lost; a refusal of the
+                        second would look as if nothing was appended. */
                      .fresh = true};
     HcResult res;
     hc_call(h->http, &req, &res);
-    bool good = false;
+    bool ok = false;
     json_t *doc = NULL;
     if (res.end == HC_DONE && res.status == 200) {
         doc = js_parse(res.body->str, res.body->len, NULL);
         *offset = (uint64_t)json_integer_value(json_object_get(doc, "offset"));
-        good = *offset > 0;
+        ok = *offset > 0;
     }
-    if (!good) {
-        /* Turned away before it did anything; another 5xx may come from a
-           device that lost the service's answer. */
+    if (!ok) {
+        /* Rejected without effect.  Any other 5xx may come from a proxy that
+           lost the service's answer. */
         bool none =
             res.end == HC_NOT_SENT ||
             (res.end == HC_DONE &&
@@ -71,7 +71,7 @@
     }
     json_decref(doc);
     hc_free_result(&res);
-    return good;
+    return ok;
 }
 
 static bool
@@ -101,8 +101,8 @@
     return true;
 }
 
-/* One call; with large entries (checkpoints) a page of the usual count
-   would not fit, so the count is halved until it does. */
+/* Reads one page.  If it is too large (entries can be checkpoints), the number
+   of entries is halved until it fits. */
 static void
 call_read(HttpLog *h, uint64_t from, uint32_t wait_ms, HcResult *res)
 {
@@ -138,24 +138,24 @@
     json_t *doc = res.end == HC_DONE
                       ? js_parse(res.body->str, res.body->len, NULL)
                       : NULL;
-    bool good = doc && parse_page(doc, page);
-    if (!good) {
+    bool ok = doc && parse_page(doc, page);
+    if (!ok) {
         g_set_error(err, BG_ERROR, BG_ERR_AWAY, "read: %s, status %ld",
                     hc_end_name(res.end), res.status);
     }
     else if (res.status == 410) {
         g_set_error(err, BG_ERROR, BG_ERR_TRIMMED, "offset %llu is not kept",
                     (unsigned long long)from);
-        good = false;
+        ok = false;
     }
     else if (res.status != 200) {
         g_set_error(err, BG_ERROR, BG_ERR_AWAY, "read: status %ld",
                     res.status);
-        good = false;
+        ok = false;
     }
     json_decref(doc);
     hc_free_result(&res);
-    return good;
+    return ok;
 }
 
 static void
@@ -209,18 +209,18 @@
     LcHandlers on;
     LcLimits limits;
     Ring *queue;  /* Bg__Record */
-    Ring *urgent; /* the same, written first */
+    Ring *urgent; /* Bg__Record, written before queue */
     pthread_t reader;
     pthread_t appender;
     bool started;
     atomic_bool stopping;
-    atomic_bool open;             /* the queue may be written */
-    pthread_mutex_t lock;         /* from */
-    pthread_cond_t asked;         /* from was set */
-    uint64_t from;                /* offset to read; 0: nothing */
-    uint64_t served;              /* reader only: last from answered */
-    atomic_uint_fast64_t fail_ms; /* last append that failed; 0: none since */
-    atomic_uint_fast64_t stop_ms; /* when the appender gives up at a stop */
+    atomic_bool open;             /* queue may be written */
+    pthread_mutex_t lock;         /* protects from */
+    pthread_cond_t requested;     /* from was set */
+    uint64_t from;                /* offset to read; 0: no read requested */
+    uint64_t served;              /* reader only: last offset read */
+    atomic_uint_fast64_t fail_ms; /* last failed append; 0: one succeeded */
+    atomic_uint_fast64_t stop_ms; /* after lc_stop: when to give up */
     BgRandom rng;                 /* appender only: jitter */
 };
 
@@ -236,29 +236,29 @@
     c->queue = ring_create(limits->max_queue);
     c->urgent = ring_create(URGENT_RECORDS);
     pthread_mutex_init(&c->lock, NULL);
-    pthread_cond_init(&c->asked, NULL);
+    pthread_cond_init(&c->requested, NULL);
     bg_seed_random(&c->rng, bg_now_us());
     return c;
 }
 
 /* ---- reader ------------------------------------------------------------- */
 
-/* Wait until a read is asked for; 0 at a stop. */
+/* Waits for a read request and returns its offset; 0: stopping. */
 static uint64_t
-wait_for_ask(LogClient *c)
+wait_for_request(LogClient *c)
 {
     pthread_mutex_lock(&c->lock);
     while (!c->from && !atomic_load(&c->stopping)) {
-        pthread_cond_wait(&c->asked, &c->lock);
+        pthread_cond_wait(&c->requested, &c->lock);
     }
     uint64_t from = c->from;
     pthread_mutex_unlock(&c->lock);
     return from;
 }
 
-/* Answered: nothing more is asked, unless it was in the meantime. */
+/* Clears the read request, unless there is a new one. */
 static void
-end_ask(LogClient *c, uint64_t from)
+clear_request(LogClient *c, uint64_t from)
 {
     pthread_mutex_lock(&c->lock);
     if (c->from == from) {
@@ -273,23 +273,23 @@
     LogPage *page = g_new0(LogPage, 1);
     g_autoptr(GError) err = NULL;
     if (c->read_api->read(c->read_api, from, READ_WAIT_MS, page, &err)) {
-        /* The same entries asked for again: the receiver could not use
-           them, and asking at full speed would not change them. */
+        /* A repeated request for the same entries: the receiver could not use
+           them.  The pause avoids a busy loop. */
         if (from == c->served && page->entries->len > 0) {
-            bg_sleep_ms(SAME_PAGE_MS);
+            bg_sleep_ms(REPEAT_PAUSE_MS);
         }
         c->served = from;
         *backoff_ms = BACKOFF_MIN_MS;
-        end_ask(c, from);
+        clear_request(c, from);
         c->on.on_page(c->on.ctx, from, page);
         return;
     }
     if (err->code == BG_ERR_TRIMMED) {
         c->on.on_trimmed(c->on.ctx, page->first, page->next);
-        bg_sleep_ms(SAME_PAGE_MS);
+        bg_sleep_ms(REPEAT_PAUSE_MS);
     }
     else {
-        c->on.on_away(c->on.ctx);
+        c->on.on_unreachable(c->on.ctx);
         bg_sleep_ms(*backoff_ms);
         *backoff_ms = MIN(*backoff_ms * 2, BACKOFF_MAX_MS);
     }
@@ -302,7 +302,7 @@
     LogClient *c = arg;
     uint32_t backoff_ms = BACKOFF_MIN_MS;
     while (!atomic_load(&c->stopping)) {
-        uint64_t from = wait_for_ask(c);
+        uint64_t from = wait_for_request(c);
         if (from) {
             read_once(c, from, &backoff_ms);
         }
@@ -315,13 +315,14 @@
 {
     pthread_mutex_lock(&c->lock);
     c->from = offset;
-    pthread_cond_signal(&c->asked);
+    pthread_cond_signal(&c->requested);
     pthread_mutex_unlock(&c->lock);
 }
 
 /* ---- appender ----------------------------------------------------------- */
 
-/* Records for one batch: the first, then what comes within the window. */
+/* Collects a batch: the first record and those that follow within the
+   window. */
 static GPtrArray *
 collect_batch(LogClient *c, Ring *queue, uint32_t first_wait_ms)
 {
@@ -358,12 +359,12 @@
            (stop_ms && now_ms > stop_ms);
 }
 
-static void wait_for_gate(LogClient *c, uint64_t start_ms);
+static void wait_until_open(LogClient *c, uint64_t start_ms);
 
-/* Write until the service acknowledges.  After a lost acknowledgement the
-   same bytes with the same id go out again: if both took effect the fold
-   passes over the second.  A batch that is NOT urgent waits while appends
-   are closed, at each attempt. */
+/* Writes a batch until the service acknowledges it.  After a lost
+   acknowledgement the same bytes are written again with the same id: if both
+   took effect, the fold ignores the second.  A batch that is not URGENT waits
+   before each attempt until appends are open. */
 static void
 write_batch(LogClient *c, GPtrArray *records, bool urgent)
 {
@@ -376,7 +377,7 @@
     uint32_t backoff_ms = BACKOFF_MIN_MS;
     for (;;) {
         if (!urgent) {
-            wait_for_gate(c, start_ms);
+            wait_until_open(c, start_ms);
         }
         g_autoptr(GError) err = NULL;
         uint64_t offset;
@@ -411,10 +412,10 @@
 }
 
 static void
-wait_for_gate(LogClient *c, uint64_t start_ms)
+wait_until_open(LogClient *c, uint64_t start_ms)
 {
     while (!atomic_load(&c->open) && !should_give_up(c, start_ms)) {
-        write_from(c, c->urgent, GATE_MS);
+        write_from(c, c->urgent, OPEN_POLL_MS);
     }
 }
 
@@ -434,10 +435,10 @@
             write_from(c, c->urgent, 0);
         }
         else if (atomic_load(&c->open) || stopping) {
-            write_from(c, c->queue, GATE_MS);
+            write_from(c, c->queue, OPEN_POLL_MS);
         }
         else {
-            write_from(c, c->urgent, GATE_MS);
+            write_from(c, c->urgent, OPEN_POLL_MS);
         }
     }
     return NULL;
@@ -473,7 +474,7 @@
     lc_stop(c, 0);
     ring_destroy(c->queue, (void (*)(void *))rec_free);
     ring_destroy(c->urgent, (void (*)(void *))rec_free);
-    pthread_cond_destroy(&c->asked);
+    pthread_cond_destroy(&c->requested);
     pthread_mutex_destroy(&c->lock);
     c->read_api->destroy(c->read_api);
     c->write_api->destroy(c->write_api);
@@ -512,5 +513,5 @@
 lc_can_append(LogClient *c)
 {
     uint64_t fail_ms = atomic_load(&c->fail_ms);
-    return !fail_ms || bg_now_ms() - fail_ms > APPEND_DOUBT_MS;
+    return !fail_ms || bg_now_ms() - fail_ms > RECENT_FAILURE_MS;
 }
--- a/src/ld.c
+++ b/src/ld.c
@@ -18,7 +18,7 @@
 #define POP_WAIT_MS 50
 #define RESULT_WRONG "wrong answer"
 
-/* One request that is to be sent. */
+/* A planned request. */
 typedef struct {
     uint64_t due_us;
     uint64_t serial;
@@ -27,27 +27,27 @@
 
 struct LoadRun {
     LdParams params;
-    GPtrArray *models; /* names */
-    double *shares;    /* cumulative, last one 1 */
-    char **targets;    /* IP:PORT */
+    GPtrArray *models;         /* names */
+    double *cumulative_shares; /* cumulative, last one 1 */
+    char **targets;            /* IP:PORT */
     uint32_t target_count;
     Ring *arrivals; /* open loop */
     atomic_bool stopping;
     atomic_uint_fast64_t serial;
     uint64_t start_us;
     uint64_t end_us;
-    Hist *first; /* to the first token, or first byte of an answer */
-    Hist *whole;
-    Hist *between;     /* tokens of a stream */
-    Hist *late;        /* start after the planned arrival */
-    Hist *refused;     /* to the refusal */
-    Hist *retry_after; /* seconds, as given */
+    Hist *first;       /* until the first token, or the answer's head */
+    Hist *complete;    /* until the end of the answer */
+    Hist *token_gap;   /* between tokens of a stream */
+    Hist *start_delay; /* from the planned arrival to the actual start */
+    Hist *refused;     /* until the refusal */
+    Hist *retry_after; /* Retry-After of refusals, in seconds */
     atomic_uint_fast64_t answered;
     atomic_uint_fast64_t wrong;
     atomic_uint_fast64_t failed;
     atomic_uint_fast64_t refusals;
     atomic_uint_fast64_t tokens;
-    atomic_uint_fast64_t shed; /* arrivals that found the ring full */
+    atomic_uint_fast64_t not_started; /* not started, as the ring was full */
     pthread_mutex_t lock;
     GHashTable *outcomes; /* "STATUS OUTCOME" -> count */
 };
@@ -60,15 +60,15 @@
     HcClient *http;
 } Worker;
 
-/* One request under way. */
+/* A request in progress. */
 typedef struct {
     LoadRun *run;
     uint64_t due_us;
     uint64_t first_us;
-    uint64_t last_us; /* of a token */
+    uint64_t last_us; /* time of the last token */
     GString *line;
     GString *text;
-    bool saw_end;
+    bool saw_done;
     long status;
 } Exchange;
 
@@ -96,16 +96,16 @@
 static double *
 make_shares(uint32_t count, double zipf)
 {
-    double *shares = g_new0(double, count);
+    double *cumulative_shares = g_new0(double, count);
     double sum = 0;
     for (uint32_t i = 0; i < count; i++) {
         sum += 1.0 / pow(i + 1.0, zipf);
-        shares[i] = sum;
+        cumulative_shares[i] = sum;
     }
     for (uint32_t i = 0; i < count; i++) {
-        shares[i] /= sum;
+        cumulative_shares[i] /= sum;
     }
-    return shares;
+    return cumulative_shares;
 }
 
 static double
@@ -122,7 +122,7 @@
     uint32_t high = r->models->len - 1;
     while (low < high) {
         uint32_t mid = (low + high) / 2;
-        if (r->shares[mid] <= at) {
+        if (r->cumulative_shares[mid] <= at) {
             low = mid + 1;
         }
         else {
@@ -184,7 +184,7 @@
 take_event(Exchange *x, const char *data, size_t len)
 {
     if (len >= 6 && memcmp(data, "[DONE]", 6) == 0) {
-        x->saw_end = true;
+        x->saw_done = true;
         return;
     }
     json_t *doc = js_parse(data, len, NULL);
@@ -195,7 +195,7 @@
             x->first_us = now_us;
         }
         else {
-            hist_add(x->run->between, now_us - x->last_us);
+            hist_add(x->run->token_gap, now_us - x->last_us);
         }
         x->last_us = now_us;
         atomic_fetch_add(&x->run->tokens, 1);
@@ -235,17 +235,17 @@
 }
 
 static bool
-is_right(const Exchange *x, const HcResult *res, const char *prompt)
+is_correct(const Exchange *x, const HcResult *res, const char *prompt)
 {
     const LdParams *p = &x->run->params;
     g_autofree char *expected = fe_make_text(prompt, p->tokens);
     if (p->stream) {
-        return x->saw_end && strcmp(x->text->str, expected) == 0;
+        return x->saw_done && strcmp(x->text->str, expected) == 0;
     }
     json_t *doc = js_parse(res->body->str, res->body->len, NULL);
-    bool right = g_strcmp0(find_text(doc), expected) == 0;
+    bool correct = g_strcmp0(find_text(doc), expected) == 0;
     json_decref(doc);
-    return right;
+    return correct;
 }
 
 static void
@@ -266,7 +266,7 @@
 {
     LoadRun *r = x->run;
     hist_add(r->first, x->first_us - x->due_us);
-    hist_add(r->whole, bg_now_us() - x->due_us);
+    hist_add(r->complete, bg_now_us() - x->due_us);
     atomic_fetch_add(&r->answered, 1);
 }
 
@@ -291,10 +291,10 @@
         return;
     }
     bool answered = res->status == 200;
-    bool right = answered && is_right(x, res, prompt);
+    bool correct = answered && is_correct(x, res, prompt);
     g_autofree char *name = g_strdup_printf("%ld %s", res->status,
                                             res->outcome ? res->outcome : "-");
-    if (right) {
+    if (correct) {
         count_answer(x);
     }
     else if (answered) {
@@ -306,7 +306,7 @@
     else {
         atomic_fetch_add(&r->failed, 1);
     }
-    count_outcome(r, answered && !right ? RESULT_WRONG : name);
+    count_outcome(r, answered && !correct ? RESULT_WRONG : name);
 }
 
 static void
@@ -314,7 +314,7 @@
 {
     LoadRun *r = w->run;
     const LdParams *p = &r->params;
-    hist_add(r->late, bg_now_us() - a->due_us);
+    hist_add(r->start_delay, bg_now_us() - a->due_us);
     g_autofree char *prompt = make_prompt(r, a->serial);
     char *body = make_body(r, r->models->pdata[a->model], prompt);
     g_autofree char *url = g_strconcat(
@@ -412,7 +412,7 @@
     a->serial = atomic_fetch_add(&r->serial, 1);
     a->model = model;
     if (!ring_push(r->arrivals, a)) {
-        atomic_fetch_add(&r->shed, 1);
+        atomic_fetch_add(&r->not_started, 1);
         g_free(a);
     }
 }
@@ -426,7 +426,8 @@
     }
 }
 
-/* Arrivals of a Poisson process, and bursts of one model at even times. */
+/* Queues the arrivals of a Poisson process, and periodic bursts of requests
+   for one model. */
 static void
 plan_arrivals(LoadRun *r)
 {
@@ -467,16 +468,16 @@
     r->target_count = g_strv_length(r->targets);
     r->arrivals = ring_create(ARRIVAL_RING);
     r->first = hist_create();
-    r->whole = hist_create();
-    r->between = hist_create();
-    r->late = hist_create();
+    r->complete = hist_create();
+    r->token_gap = hist_create();
+    r->start_delay = hist_create();
     r->refused = hist_create();
     r->retry_after = hist_create();
     r->outcomes =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     pthread_mutex_init(&r->lock, NULL);
     if (r->models->len > 0) {
-        r->shares = make_shares(r->models->len, p->zipf);
+        r->cumulative_shares = make_shares(r->models->len, p->zipf);
     }
     return r;
 }
@@ -491,14 +492,14 @@
     g_strfreev(r->targets);
     ring_destroy(r->arrivals, g_free);
     hist_destroy(r->first);
-    hist_destroy(r->whole);
-    hist_destroy(r->between);
-    hist_destroy(r->late);
+    hist_destroy(r->complete);
+    hist_destroy(r->token_gap);
+    hist_destroy(r->start_delay);
     hist_destroy(r->refused);
     hist_destroy(r->retry_after);
     g_hash_table_destroy(r->outcomes);
     pthread_mutex_destroy(&r->lock);
-    g_free(r->shares);
+    g_free(r->cumulative_shares);
     g_free(r);
 }
 
@@ -554,7 +555,7 @@
 ld_is_clean(const LoadRun *r)
 {
     return atomic_load(&r->wrong) == 0 && atomic_load(&r->failed) == 0 &&
-           atomic_load(&r->shed) == 0;
+           atomic_load(&r->not_started) == 0;
 }
 
 typedef struct {
@@ -568,10 +569,10 @@
 list_series(const LoadRun *r, Series out[SERIES])
 {
     const Series all[SERIES] = {{"first_us", r->first},
-                                {"whole_us", r->whole},
-                                {"between_us", r->between},
+                                {"whole_us", r->complete},
+                                {"between_us", r->token_gap},
                                 {"refused_us", r->refused},
-                                {"late_us", r->late}};
+                                {"late_us", r->start_delay}};
     memcpy(out, all, sizeof(all));
 }
 
@@ -609,8 +610,8 @@
         (json_int_t)r->params.seed, "elapsed_s", elapsed_s, "answered",
         (json_int_t)r->answered, "refused", (json_int_t)r->refusals, "wrong",
         (json_int_t)r->wrong, "failed", (json_int_t)r->failed, "not_started",
-        (json_int_t)r->shed, "tokens", (json_int_t)r->tokens, "outcomes",
-        make_outcomes_json(r));
+        (json_int_t)r->not_started, "tokens", (json_int_t)r->tokens,
+        "outcomes", make_outcomes_json(r));
     Series series[SERIES];
     list_series(r, series);
     for (int i = 0; i < SERIES; i++) {
@@ -637,7 +638,7 @@
         (double)(r->end_us - r->start_us) / 1e6,
         (unsigned long long)r->params.seed, (unsigned long long)r->answered,
         (unsigned long long)r->refusals, (unsigned long long)r->wrong,
-        (unsigned long long)r->failed, (unsigned long long)r->shed);
+        (unsigned long long)r->failed, (unsigned long long)r->not_started);
     Series series[SERIES];
     list_series(r, series);
     for (int i = 0; i < SERIES; i++) {
--- a/src/lim.c
+++ b/src/lim.c
@@ -303,8 +303,8 @@
 }
 
 /* Removes the earlier loans to TO and returns the largest amount.  The
-   borrower replaces them by the new loan, but the message may be lost: so the
-   larger of both amounts is counted. */
+   borrower replaces them by the new loan, but if that message is lost it uses
+   the old one until it expires: so the larger of both amounts is counted. */
 static uint64_t
 remove_loans_to(Limit *m, const char *to, uint64_t now_ms)
 {
--- a/src/main_load.c
+++ b/src/main_load.c
@@ -1,5 +1,5 @@
-/* bglade-load: load and experiment tool.  A load driver, and fast stand-ins
-   for engines and for the log. */
+/* bglade-load: tool for load tests and experiments.  A load generator, and
+   fast simulators of engines and of the log. */
 #include "fe.h"
 #include "fl.h"
 #include "hc.h"
@@ -17,15 +17,16 @@
 
 const char *argp_program_version = "bitternglade " BG_VERSION;
 
-/* A number of an option, or the end of the program with a message. */
+/* Parses the number of an option; exits with a message if it is invalid. */
 static uint64_t
-read_number(const struct argp_state *state, const char *text, uint64_t most)
+read_number(const struct argp_state *state, const char *text,
+            uint64_t max_value)
 {
     char *end;
     uint64_t value = g_ascii_strtoull(text, &end, 10);
-    if (end == text || *end || *text == '-' || value > most) {
-        argp_error(state, "'%s' is no number from 0 to %llu", text,
-                   (unsigned long long)most);
+    if (end == text || *end || *text == '-' || value > max_value) {
+        argp_error(state, "'%s' is not a number from 0 to %llu", text,
+                   (unsigned long long)max_value);
     }
     return value;
 }
@@ -36,7 +37,7 @@
     char *end;
     double value = g_ascii_strtod(text, &end);
     if (end == text || *end || !(value >= 0 && value <= 1e9)) {
-        argp_error(state, "'%s' is no number", text);
+        argp_error(state, "'%s' is not a number", text);
     }
     return value;
 }
@@ -68,26 +69,29 @@
 };
 
 static const struct argp_option run_options[] = {
-    {"to", 't', "IP:PORT,...", 0, "Routers, or an engine; used in turn", 0},
-    {"key", 'k', "KEY", 0, "Workspace key", 0},
+    {"to", 't', "IP:PORT,...", 0, "Routers or engines; used round-robin", 0},
+    {"key", 'k', "KEY", 0, "API key of a workspace", 0},
     {"models", 'm', "NAME,...", 0, "Models; m% with --count is m0, m1, ...",
      0},
-    {"count", 'N', "N", 0, "How many models % stands for", 0},
+    {"count", 'N', "N", 0, "Number of models that % stands for", 0},
     {"zipf", 'z', "S", 0, "The k-th model's share is 1/k^S (default 0)", 0},
-    {"stream", OPT_STREAM, NULL, 0, "Streamed answers", 0},
-    {"chat", OPT_CHAT, NULL, 0, "Chat completions", 0},
+    {"stream", OPT_STREAM, NULL, 0, "Request streamed answers", 0},
+    {"chat", OPT_CHAT, NULL, 0, "Request chat completions", 0},
     {"connections", 'c', "N", 0, "Connections (default 8)", 0},
     {"rate", 'r', "R", 0,
-     "Open loop: arrivals a second (default 0: closed loop)", 0},
-    {"duration", 'd', "MS", 0, "Milliseconds (default 2000)", 0},
-    {"requests", 'n', "N", 0, "Stop after so many", 0},
+     "Open loop: arrivals per second (default 0: closed loop)", 0},
+    {"duration", 'd', "MS", 0, "Duration of the run (default 2000)", 0},
+    {"requests", 'n', "N", 0, "Max. number of requests (default: no limit)",
+     0},
     {"tokens", 'T', "N", 0, "max_tokens (default 8)", 0},
     {"prompt-bytes", OPT_PROMPT, "N", 0, "Length of a prompt (default 64)", 0},
-    {"burst", OPT_BURST, "N", 0, "Open loop: so many at once for one model",
+    {"burst", OPT_BURST, "N", 0, "Open loop: requests for one model at once",
+     0},
+    {"burst-every", OPT_BURST_EVERY, "MS", 0, "Interval between bursts", 0},
+    {"timeout", OPT_TIMEOUT, "MS", 0, "Timeout of a request (default 30000)",
+     0},
+    {"ramp", OPT_RAMP, "MS", 0, "Closed loop: time to start all connections",
      0},
-    {"burst-every", OPT_BURST_EVERY, "MS", 0, "Between bursts", 0},
-    {"timeout", OPT_TIMEOUT, "MS", 0, "Of a request (default 30000)", 0},
-    {"ramp", OPT_RAMP, "MS", 0, "Closed loop: start connections over it", 0},
     {"seed", 's', "N", 0, "Seed (default 1)", 0},
     {"json", 'j', NULL, 0, "Print JSON", 0},
     {0}};
@@ -188,8 +192,8 @@
                         parse_run,
                         NULL,
                         "Send requests and measure.\vExit codes: 0 every "
-                        "answer whole and right, or refused; 1 not so; 2 an "
-                        "argument is wrong.",
+                        "answer complete and correct, or refused; 1 "
+                        "otherwise; 2 invalid argument.",
                         NULL,
                         NULL,
                         NULL};
@@ -212,11 +216,13 @@
 static const struct argp_option engine_options[] = {
     {"port", 'p', "PORT", 0, "First port, on 127.0.0.1", 0},
     {"engines", 'e', "N", 0, "Engines, on consecutive ports (default 1)", 0},
-    {"threads", 'n', "N", 0, "Connections at once (default 128)", 0},
-    {"memory-mb", 'M', "MB", 0, "Of each engine (default 80000)", 0},
-    {"token-us", 'u', "US", 0, "Before each token (default 2000)", 0},
-    {"load-scale", 'l', "PERCENT", 0, "Of load_ms (default 100)", 0},
-    {"ignore-fence", 'i', NULL, 0, "Take orders with old numbers", 0},
+    {"threads", 'n', "N", 0, "Concurrent connections (default 128)", 0},
+    {"memory-mb", 'M', "MB", 0, "Memory of each engine (default 80000)", 0},
+    {"token-us", 'u', "US", 0, "Time for each token (default 2000)", 0},
+    {"load-scale", 'l', "PERCENT", 0,
+     "Load time in percent of load_ms (default 100)", 0},
+    {"ignore-fence", 'i', NULL, 0,
+     "Accept orders with outdated fencing tokens", 0},
     {"loaded", 'm', "NAME,...", 0, "Models loaded from the start", 0},
     {0}};
 
@@ -272,7 +278,7 @@
                   .fencing = true,
                   .models = ""};
     struct argp argp = {
-        engine_options, parse_engine, NULL, "Stand in for engines.",
+        engine_options, parse_engine, NULL, "Simulate engines.",
         NULL,           NULL,         NULL};
     argp_parse(&argp, argc, argv, 0, NULL, &p);
     sigset_t set;
@@ -292,11 +298,11 @@
 /* ---- log ---------------------------------------------------------------- */
 
 static const struct argp_option log_options[] = {
-    {"listen", 'p', "IP:PORT", 0, "Where to serve", 0},
-    {"threads", 'n', "N", 0, "Connections at once (default 256)", 0},
-    {"rate", 'r', "R", 0, "Appends a second at most (default: no limit)", 0},
-    {"latency", 'l', "MS", 0, "Of an append (default 0)", 0},
-    {"keep", 'k', "N", 0, "Entries kept (default: all)", 0},
+    {"listen", 'p', "IP:PORT", 0, "Listen address", 0},
+    {"threads", 'n', "N", 0, "Concurrent connections (default 256)", 0},
+    {"rate", 'r', "R", 0, "Max. appends per second (default: no limit)", 0},
+    {"latency", 'l', "MS", 0, "Latency of an append (default 0)", 0},
+    {"keep", 'k', "N", 0, "Min. entries retained (default: all)", 0},
     {0}};
 
 static error_t
@@ -334,7 +340,7 @@
 {
     FlParams p = {.threads = 256};
     struct argp argp = {
-        log_options, parse_log, NULL, "Stand in for the log service.",
+        log_options, parse_log, NULL, "Simulate the log service.",
         NULL,        NULL,      NULL};
     argp_parse(&argp, argc, argv, 0, NULL, &p);
     sigset_t set;
@@ -361,8 +367,8 @@
 
 static const Command commands[] = {
     {"run", run_load, "send requests and measure"},
-    {"engine", run_engine, "stand in for model engines"},
-    {"log", run_log, "stand in for the log service"}};
+    {"engine", run_engine, "simulate model engines"},
+    {"log", run_log, "simulate the log service"}};
 
 static void
 print_usage(FILE *to)
--- a/src/main_router.c
+++ b/src/main_router.c
@@ -1,4 +1,6 @@
-/* bglade-router: answers callers.  Shell around the routing core. */
+/* bglade-router: serves client requests and forwards them to upstreams.  It
+   connects the cores (routing, limits, at-most-once, quarantine) to the node,
+   the HTTP server and the probe thread. */
 #include "hc.h"
 #include "node.h"
 #include "req.h"
@@ -9,58 +11,58 @@
 #include <stdatomic.h>
 #include <string.h>
 
-#define DEMAND_MS 100
+#define DEMAND_INTERVAL_MS 100
 #define PROBE_RING 256
 #define PROBE_CONNECT_MS 300
 #define PROBE_TOTAL_MS 1000
-#define DEMAND_REPEAT_MS 1000 /* less than the age at which it lapses */
-/* Longer than the log client keeps trying one batch. */
+#define DEMAND_REPEAT_MS 1000 /* below its time to live at the placer */
+/* Longer than the log client retries a batch. */
 #define RESEND_MS 70000
 
 static const IniRule rules[] = {
     {"router", "max_waiting_lookup", INI_INT, false, "1000", 1, 1000000, NULL,
-     "lookups and service calls that may wait"},
+     "max. queued lookups and service calls"},
     {"router", "max_waiting_interactive", INI_INT, false, "1000", 1, 1000000,
-     NULL, "interactive requests that may wait"},
+     NULL, "max. queued interactive requests"},
     {"router", "max_waiting_batch", INI_INT, false, "1000", 1, 1000000, NULL,
-     "batch requests that may wait"},
+     "max. queued batch requests"},
     {"router", "per_upstream", INI_INT, false, "64", 1, 100000, NULL,
-     "requests of this router on one upstream at once"},
+     "max. requests of this router in flight on one upstream"},
     {"router", "eject_failures", INI_INT, false, "3", 1, 1000, NULL,
      "consecutive failures after which an upstream is ejected"},
     {"router", "eject_ms", INI_INT, false, "1000", 1, 600000, NULL,
-     "its rest before a probe, and between probes"},
+     "time from ejection to the first probe, and between probes"},
     {"router", "return_ms", INI_INT, false, "500", 1, 600000, NULL,
-     "after which a returning upstream's share of traffic doubles"},
+     "interval at which a recovered upstream's traffic share doubles"},
     {"router", "retry_percent", INI_INT, false, "20", 0, 100, NULL,
-     "retries allowed for each hundred requests"},
+     "retry budget, retries per hundred requests"},
     {"router", "max_sends", INI_INT, false, "4", 1, 100, NULL,
-     "times that one request is sent at most"},
+     "max. attempts of one request"},
     {"router", "early_refusal", INI_BOOL, false, "true", 0, 0, NULL,
-     "refuse at once what can't be served in time"},
+     "refuse requests at once that can't be served in time"},
     {"router", "routers", INI_INT, false, "1", 1, 100000, NULL,
-     "routers of the whole system, which share every limit"},
+     "number of routers in the whole system, which share the limits"},
     {"router", "limit_lease_ms", INI_INT, false, "5000", 100, 3600000, NULL,
-     "how long a part of a limit is lent to another router"},
+     "time for which a share of a limit is lent to another router"},
     {"router", "connect_ms", INI_INT, false, "300", 10, 60000, NULL,
-     "to connect to an upstream"},
+     "timeout for connecting to an upstream"},
     {"router", "first_byte_ms", INI_INT, false, "5000", 50, 3600000, NULL,
-     "to the first byte of a stream"},
+     "timeout for the first byte of a stream"},
     {"router", "answer_ms", INI_INT, false, "10000", 50, 3600000, NULL,
-     "for an unstreamed completion; three long runs if that is more"},
+     "timeout for an unstreamed completion; three long runs if longer"},
     {"router", "idle_ms", INI_INT, false, "5000", 50, 3600000, NULL,
-     "between bytes of an answer"},
+     "timeout between bytes of an answer"},
     {"router", "pool_idle_ms", INI_INT, false, "10000", 1000, 600000, NULL,
-     "a pooled connection idle for longer is not used again"},
+     "pooled connections idle for longer are not used again"},
     {"router", "claim_wait_ms", INI_INT, false, "2000", 1, 600000, NULL,
-     "longest wait for the claim of a non-idempotent call"},
+     "timeout for the claim of a non-idempotent call"},
     {NULL, NULL, INI_TEXT, false, NULL, 0, 0, NULL, NULL}};
 
-/* Is an upstream well?  Asked on a fresh connection. */
+/* A health check of an upstream, over a new connection. */
 typedef struct {
     char *upstream;
     char *address;
-    bool well;
+    bool healthy;
 } Probe;
 
 typedef struct {
@@ -68,17 +70,17 @@
     RtCore *core;
     Desk *desk;
     Lim *lim;
-    GHashTable *linked; /* names of routers with a link */
-    Ring *probes;       /* Probe, to the probe thread */
-    Ring *probed;       /* Probe, back from it */
+    GHashTable *linked_routers; /* names of the routers that are linked */
+    Ring *probes;               /* Probe, to the probe thread */
+    Ring *probed;               /* Probe, back from it */
     pthread_t probe_thread;
     atomic_bool stopping;
     OnceCore *once;
     QrCore *quarantine;
     uint64_t next_demand_ms;
     uint64_t repeat_demand_ms;
-    GByteArray *last_demand; /* as sent; NULL: none */
-    bool configured;         /* a configuration has come in force */
+    GByteArray *last_demand; /* packed; NULL: none */
+    bool configured;         /* a configuration is in force */
     bool draining;
 } Router;
 
@@ -94,7 +96,7 @@
 }
 
 static bool
-is_well(HcClient *http, const char *address)
+check_health(HcClient *http, const char *address)
 {
     g_autofree char *url =
         g_strconcat("http://", address, "/control/report", NULL);
@@ -105,9 +107,9 @@
                      .fresh = true};
     HcResult res;
     hc_call(http, &req, &res);
-    bool well = res.end == HC_DONE && res.status == 200;
+    bool healthy = res.end == HC_DONE && res.status == 200;
     hc_free_result(&res);
-    return well;
+    return healthy;
 }
 
 static void *
@@ -120,9 +122,9 @@
         if (!p) {
             continue;
         }
-        p->well = is_well(http, p->address);
+        p->healthy = check_health(http, p->address);
         if (!ring_push(r->probed, p)) {
-            free_probe(p); /* the core asks again */
+            free_probe(p); /* the core requests it again */
         }
     }
     hc_destroy(http);
@@ -130,11 +132,11 @@
 }
 
 static void
-take_probes(Router *r, uint64_t now_ms)
+apply_probes(Router *r, uint64_t now_ms)
 {
     Probe *p;
     while ((p = ring_pop(r->probed, 0))) {
-        rt_on_probe(r->core, now_ms, p->upstream, p->address, p->well);
+        rt_on_probe(r->core, now_ms, p->upstream, p->address, p->healthy);
         free_probe(p);
     }
 }
@@ -179,7 +181,7 @@
     return node_append(((Router *)ctx)->node, record);
 }
 
-/* The two cores that decide by the log: at most once, and quarantine. */
+/* Creates the cores that are based on the log: at-most-once, quarantine. */
 static void
 create_log_cores(Router *r)
 {
@@ -205,7 +207,7 @@
     p->upstream = g_strdup(upstream);
     p->address = g_strdup(address);
     if (!ring_push(r->probes, p)) {
-        free_probe(p); /* the core asks again */
+        free_probe(p); /* the core requests it again */
     }
 }
 
@@ -228,14 +230,14 @@
 }
 
 static void
-output_left(void *ctx, const char *upstream, const char *address)
+output_leaving(void *ctx, const char *upstream, const char *address)
 {
-    Bg__UpstreamLeft left = BG__UPSTREAM_LEFT__INIT;
-    left.upstream = (char *)upstream;
-    left.address = (char *)address;
+    Bg__UpstreamLeft message = BG__UPSTREAM_LEFT__INIT;
+    message.upstream = (char *)upstream;
+    message.address = (char *)address;
     Bg__Frame frame = BG__FRAME__INIT;
     frame.body_case = BG__FRAME__BODY_UPSTREAM_LEFT;
-    frame.upstream_left = &left;
+    frame.upstream_left = &message;
     node_send(((Router *)ctx)->node, NULL, NULL, "router", &frame);
 }
 
@@ -266,14 +268,18 @@
         .max_sends = get_setting(f, "max_sends"),
         .early_refusal = ini_get_bool(f, "router", "early_refusal"),
         .seed = bg_now_us()};
-    RtOutput out = {
-        r,          output_send, output_refuse, output_finish, output_probe,
-        output_left};
+    RtOutput out = {r,
+                    output_send,
+                    output_refuse,
+                    output_finish,
+                    output_probe,
+                    output_leaving};
     LimParams limits = {get_setting(f, "routers"),
                         get_setting(f, "limit_lease_ms")};
     LimOutput limit_out = {r, output_ask, output_lend};
     r->lim = lim_create(&limits, &limit_out, bg_now_ms());
-    r->linked = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    r->linked_routers =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     r->desk = desk_create(n, r->lim);
     r->core = rt_create(&params, &out);
     create_log_cores(r);
@@ -294,7 +300,7 @@
     rt_destroy(r->core);
     desk_destroy(r->desk);
     lim_destroy(r->lim);
-    g_hash_table_destroy(r->linked);
+    g_hash_table_destroy(r->linked_routers);
     once_destroy(r->once);
     qr_destroy(r->quarantine);
     if (r->last_demand) {
@@ -320,7 +326,7 @@
 }
 
 static void
-note_boots(Router *r, uint64_t now_ms, const Bg__Residency *m)
+report_boots(Router *r, uint64_t now_ms, const Bg__Residency *m)
 {
     for (size_t i = 0; i < m->n_upstreams; i++) {
         const Bg__UpstreamState *s = m->upstreams[i];
@@ -347,7 +353,7 @@
     Router *r = ctx;
     switch (frame->body_case) {
     case BG__FRAME__BODY_RESIDENCY:
-        note_boots(r, now_ms, frame->residency);
+        report_boots(r, now_ms, frame->residency);
         rt_on_residency(r->core, now_ms, frame->residency);
         break;
     case BG__FRAME__BODY_WANT_REFUSED:
@@ -375,18 +381,18 @@
     (void)now_ms;
     Router *r = ctx;
     if (up) {
-        r->repeat_demand_ms = 0; /* a new placer knows none */
+        r->repeat_demand_ms = 0; /* send it to a newly linked placer */
     }
     if (strcmp(peer->role, "router") != 0) {
         return;
     }
     if (up) {
-        g_hash_table_add(r->linked, g_strdup(peer->node));
+        g_hash_table_add(r->linked_routers, g_strdup(peer->node));
     }
     else {
-        g_hash_table_remove(r->linked, peer->node);
+        g_hash_table_remove(r->linked_routers, peer->node);
     }
-    lim_on_peers(r->lim, g_hash_table_size(r->linked));
+    lim_on_peers(r->lim, g_hash_table_size(r->linked_routers));
 }
 
 static void
@@ -404,8 +410,9 @@
     desk_on_event(r->desk, r->core, now_ms, event);
 }
 
-/* Demand that has not changed is repeated now and then, for a frame may be
-   lost; an empty one is not, for on the other side it lapses to the same. */
+/* Unchanged demand is repeated periodically, as a frame may be lost.  Empty
+   demand is not: at the placer the former demand expires, which has the same
+   effect. */
 static bool
 is_demand_due(Router *r, uint64_t now_ms, const Bg__Demand *d)
 {
@@ -445,10 +452,10 @@
     Router *r = ctx;
     once_on_tick(r->once, now_ms, bg_wall_ms());
     qr_on_tick(r->quarantine, now_ms);
-    take_probes(r, now_ms);
+    apply_probes(r, now_ms);
     rt_on_tick(r->core, now_ms);
     if (now_ms >= r->next_demand_ms) {
-        r->next_demand_ms = now_ms + DEMAND_MS;
+        r->next_demand_ms = now_ms + DEMAND_INTERVAL_MS;
         send_demand(r, now_ms);
     }
 }
@@ -496,23 +503,24 @@
 main(int argc, char **argv)
 {
     Router router = {0};
-    NodeRole role = {.role = "router",
-                     .doc = "Answers callers: admission, routing, streams.",
-                     .rules = rules,
-                     .start = start_router,
-                     .stop = stop_router,
-                     .on_record = on_record,
-                     .on_config = on_config,
-                     .on_frame = on_frame,
-                     .on_link = on_link,
-                     .on_log = on_log,
-                     .on_event = on_event,
-                     .on_tick = on_tick,
-                     .on_drain = on_drain,
-                     .is_drained = is_drained,
-                     .is_ready = is_ready,
-                     .dump = dump,
-                     .on_http = on_http,
-                     .ctx = &router};
+    NodeRole role = {
+        .role = "router",
+        .doc = "Serves client requests: admission, routing, streaming.",
+        .rules = rules,
+        .start = start_router,
+        .stop = stop_router,
+        .on_record = on_record,
+        .on_config = on_config,
+        .on_frame = on_frame,
+        .on_link = on_link,
+        .on_log = on_log,
+        .on_event = on_event,
+        .on_tick = on_tick,
+        .on_drain = on_drain,
+        .is_drained = is_drained,
+        .is_ready = is_ready,
+        .dump = dump,
+        .on_http = on_http,
+        .ctx = &router};
     return node_main(argc, argv, &role);
 }
--- a/src/ring.h
+++ b/src/ring.h
@@ -1,5 +1,5 @@
-/* ring: a bounded queue of pointers between threads.  Many may push, one
-   or many may pop. */
+/* ring: a bounded FIFO queue of pointers between threads, for any number of
+   producers and consumers. */
 #ifndef RING_H
 #define RING_H
 
@@ -7,16 +7,17 @@
 
 typedef struct Ring Ring;
 
-/* CAPACITY items at most. */
+/* CAPACITY: max. number of items. */
 Ring *ring_create(uint32_t capacity);
-/* Items still inside are passed to FREE_ITEM if it is not NULL. */
+/* Remaining items are passed to FREE_ITEM if it is not NULL. */
 void ring_destroy(Ring *r, void (*free_item)(void *));
 
-/* Add ITEM; false when the ring is full or closed (ITEM stays yours). */
+/* Adds ITEM.  False: the ring is full or closed, and the caller still owns
+   ITEM. */
 bool ring_push(Ring *r, void *item);
-/* Take the oldest item, waiting up to WAIT_MS; NULL when none came. */
+/* Removes the oldest item, waiting up to WAIT_MS for one; NULL: none came. */
 void *ring_pop(Ring *r, uint32_t wait_ms);
-/* Refuse further pushes and wake every waiter. */
+/* Refuses further pushes and wakes all waiting threads. */
 void ring_close(Ring *r);
 uint32_t ring_count(Ring *r);
 
--- a/src/roster.c
+++ b/src/roster.c
@@ -4,20 +4,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A process silent for so long is left out of its data centre's list. */
-#define LIVE_MS 5000
-/* A data centre of which nothing was heard for so long is forgotten. */
-#define FORGET_MS 3600000
+/* Without a heartbeat for so long, a process is removed from the list. */
+#define NODE_TIMEOUT_MS 5000
+/* Without an update for so long, a data centre is removed. */
+#define CENTRE_TIMEOUT_MS 3600000
 
 typedef struct {
-    Bg__NodeStatus status; /* texts are ours */
-    uint64_t heard_ms;
+    Bg__NodeStatus status; /* owns its strings */
+    uint64_t last_contact_ms;
 } Row;
 
-/* One data centre.  heard_ms: when its placer wrote the list. */
+/* One data centre.  last_contact_ms: when its placer made the list. */
 typedef struct {
     char *name;
-    uint64_t heard_ms;
+    uint64_t last_contact_ms;
     GHashTable *rows; /* node -> Row */
 } Centre;
 
@@ -86,8 +86,8 @@
 }
 
 static void
-set_row(Centre *c, uint64_t heard_ms, const char *node, const char *role,
-        uint64_t version, uint64_t offset, bool held)
+set_row(Centre *c, uint64_t last_contact_ms, const char *node,
+        const char *role, uint64_t version, uint64_t offset, bool held)
 {
     Row *row = g_new0(Row, 1);
     bg__node_status__init(&row->status);
@@ -97,7 +97,7 @@
     row->status.config_version = version;
     row->status.applied_offset = offset;
     row->status.held = held;
-    row->heard_ms = heard_ms;
+    row->last_contact_ms = last_contact_ms;
     g_hash_table_replace(c->rows, row->status.node, row);
 }
 
@@ -121,49 +121,52 @@
 roster_on_gossip(Roster *r, uint64_t now_ms, const Bg__Gossip *g)
 {
     bool placer = strcmp(r->role, "placer") == 0;
-    uint64_t heard_ms = now_ms > g->age_ms ? now_ms - g->age_ms : 1;
+    uint64_t last_contact_ms = now_ms > g->age_ms ? now_ms - g->age_ms : 1;
     Centre *c = get_centre(r, g->data_centre);
-    /* A placer hears its own data centre better than others tell it. */
+    /* For its own data centre a placer has newer data than any gossip. */
     if ((placer && strcmp(g->data_centre, r->data_centre) == 0) ||
-        heard_ms <= c->heard_ms) {
+        last_contact_ms <= c->last_contact_ms) {
         return;
     }
-    c->heard_ms = heard_ms;
+    c->last_contact_ms = last_contact_ms;
     g_hash_table_remove_all(c->rows);
     for (size_t i = 0; i < g->n_nodes; i++) {
         const Bg__NodeStatus *s = g->nodes[i];
-        set_row(c, heard_ms > s->age_ms ? heard_ms - s->age_ms : 1, s->node,
-                s->role, s->config_version, s->applied_offset, s->held);
+        set_row(
+            c, last_contact_ms > s->age_ms ? last_contact_ms - s->age_ms : 1,
+            s->node, s->role, s->config_version, s->applied_offset, s->held);
     }
 }
 
 static gboolean
-is_old(gpointer key, gpointer row, gpointer now_ms)
+is_stale(gpointer key, gpointer row, gpointer now_ms)
 {
     (void)key;
-    return *(uint64_t *)now_ms - ((Row *)row)->heard_ms > LIVE_MS;
+    return *(uint64_t *)now_ms - ((Row *)row)->last_contact_ms >
+           NODE_TIMEOUT_MS;
 }
 
 static gboolean
-is_forgotten(gpointer key, gpointer centre, gpointer now_ms)
+is_expired(gpointer key, gpointer centre, gpointer now_ms)
 {
     (void)key;
-    return *(uint64_t *)now_ms - ((Centre *)centre)->heard_ms > FORGET_MS;
+    return *(uint64_t *)now_ms - ((Centre *)centre)->last_contact_ms >
+           CENTRE_TIMEOUT_MS;
 }
 
-/* Bring this process's own data centre up to date. */
+/* Updates the list of this process's own data centre. */
 static void
 refresh(Roster *r, uint64_t now_ms)
 {
     Centre *own = get_centre(r, r->data_centre);
     if (strcmp(r->role, "placer") == 0) {
-        g_hash_table_foreach_remove(own->rows, is_old, &now_ms);
-        own->heard_ms = now_ms;
+        g_hash_table_foreach_remove(own->rows, is_stale, &now_ms);
+        own->last_contact_ms = now_ms;
     }
     set_row(own, now_ms, r->node, r->role, r->self.config_version,
             r->self.applied_offset, r->self.held);
-    own->heard_ms = MAX(own->heard_ms, 1);
-    g_hash_table_foreach_remove(r->centres, is_forgotten, &now_ms);
+    own->last_contact_ms = MAX(own->last_contact_ms, 1);
+    g_hash_table_foreach_remove(r->centres, is_expired, &now_ms);
 }
 
 static gint
@@ -200,13 +203,14 @@
     g_autoptr(GPtrArray) rows = list_rows(c);
     Bg__Gossip g = BG__GOSSIP__INIT;
     g.data_centre = c->name;
-    g.age_ms = now_ms - c->heard_ms;
+    g.age_ms = now_ms - c->last_contact_ms;
     g.n_nodes = rows->len;
     g.nodes = (Bg__NodeStatus **)rows->pdata;
     for (guint i = 0; i < rows->len; i++) {
         Row *row = rows->pdata[i];
-        row->status.age_ms =
-            c->heard_ms > row->heard_ms ? c->heard_ms - row->heard_ms : 0;
+        row->status.age_ms = c->last_contact_ms > row->last_contact_ms
+                                 ? c->last_contact_ms - row->last_contact_ms
+                                 : 0;
     }
     size_t len = bg__gossip__get_packed_size(&g);
     g_autofree uint8_t *data = g_malloc(len + 1);
@@ -241,8 +245,8 @@
                       "data_centre", s->data_centre, "role", s->role,
                       "config_version", (json_int_t)s->config_version,
                       "applied_offset", (json_int_t)s->applied_offset,
-                      "age_ms", (json_int_t)(now_ms - row->heard_ms), "held",
-                      s->held));
+                      "age_ms", (json_int_t)(now_ms - row->last_contact_ms),
+                      "held", s->held));
     }
 }
 
--- a/src/roster.h
+++ b/src/roster.h
@@ -1,8 +1,9 @@
-/* roster: which configuration is in force at which process, for operators.
-   A placer hears the processes of its data centre by their heartbeats; what
-   it heard is passed on to whoever asks.  Nothing is decided by it.
+/* roster: which configuration is in force at which process.  It is shown to
+   operators and not used for decisions.  A placer collects it from the
+   heartbeats of its data centre's processes; the placers exchange their lists
+   by gossip.
 
-   Decision core: no threads, clock or I/O. */
+   No threads, clock or I/O. */
 #ifndef ROSTER_H
 #define ROSTER_H
 
@@ -20,10 +21,10 @@
 void roster_on_heartbeat(Roster *r, uint64_t now_ms, const PeerInfo *from,
                          const Bg__Heartbeat *hb);
 void roster_on_gossip(Roster *r, uint64_t now_ms, const Bg__Gossip *g);
-/* What is known, one message a data centre, newest word of each; free with
+/* The newest known list of each data centre, as Bg__Gossip; free with
    g_ptr_array_free(.., TRUE). */
 GPtrArray *roster_make_gossip(Roster *r, uint64_t now_ms);
-/* The same as JSON text; free with g_free. */
+/* All lists as JSON text; free with g_free. */
 char *roster_dump(Roster *r, uint64_t now_ms);
 
 #endif
--- a/src/rt.c
+++ b/src/rt.c
@@ -700,9 +700,9 @@
 
 void
 rt_on_probe(RtCore *c, uint64_t now_ms, const char *upstream,
-            const char *address, bool well)
+            const char *address, bool healthy)
 {
-    up_on_probe(c->ups, now_ms, upstream, address, well);
+    up_on_probe(c->ups, now_ms, upstream, address, healthy);
     dispatch(c, now_ms);
 }
 
--- a/src/rt.h
+++ b/src/rt.h
@@ -98,7 +98,7 @@
    follows. */
 bool rt_on_cancel(RtCore *c, uint64_t now_ms, uint64_t id);
 void rt_on_probe(RtCore *c, uint64_t now_ms, const char *upstream,
-                 const char *address, bool well);
+                 const char *address, bool healthy);
 void rt_on_residency(RtCore *c, uint64_t now_ms, const Bg__Residency *r);
 /* Another router announced that an upstream is leaving. */
 void rt_on_leaving(RtCore *c, uint64_t now_ms, const char *upstream,
--- a/src/up.c
+++ b/src/up.c
@@ -318,10 +318,10 @@
    burst of queued requests could overload it again. */
 void
 up_on_probe(UpSet *s, uint64_t now_ms, const char *upstream,
-            const char *address, bool well)
+            const char *address, bool healthy)
 {
     Up *u = g_hash_table_lookup(s->ups, upstream);
-    if (!u || !u->ejected || strcmp(u->address, address) != 0 || !well) {
+    if (!u || !u->ejected || strcmp(u->address, address) != 0 || !healthy) {
         return;
     }
     u->ejected = false;
--- a/src/up.h
+++ b/src/up.h
@@ -56,7 +56,7 @@
 void up_on_leaving(UpSet *s, uint64_t now_ms, const char *upstream,
                    const char *address);
 void up_on_probe(UpSet *s, uint64_t now_ms, const char *upstream,
-                 const char *address, bool well);
+                 const char *address, bool healthy);
 /* Sends the probes that are due. */
 void up_on_tick(UpSet *s, uint64_t now_ms);
 
