--- a/tests/script_lim.c
+++ b/tests/script_lim.c
@@ -1,12 +1,13 @@
-/* Several routers' limits in one process, with the messages between them in
-   the script's hand.  One event a line:
+/* Runs the limits of several routers on a script from standard input, which
+   also delivers the messages between them.  One event a line:
 
      routers COUNT LEASE_MS REQUESTS TOKENS CONCURRENCY   first
-     at MS
-     take ROUTER TOKENS      prints "taken" or "refused RETRY_MS"
-     give ROUTER TOKENS USED
-     deliver|drop|double N   the Nth message under way, from 0
-     restart ROUTER          a new process in its place
+     at MS                   sets the clock
+     take ROUTER TOKENS      lim_admit; prints "taken" or "refused RETRY_MS"
+     give ROUTER TOKENS USED lim_release
+     deliver|drop|double N   the Nth message in transit, from 0; double: it is
+                             delivered and stays in transit
+     restart ROUTER          replaces it by a new process
      shares                  prints the sum of the shares of each limit */
 #include "lim.h"
 #include "script.h"
@@ -24,11 +25,11 @@
     Script *script;
     int index;
     char name[16];
-    uint32_t lives;
+    uint32_t generation;
     Lim *lim;
 } Router;
 
-/* A message; TO is NULL for all others. */
+/* A message in transit, an ask or a loan. */
 typedef struct {
     char from[16];
     char to[16];
@@ -85,7 +86,7 @@
 {
     Script *s = r->script;
     LimOutput out = {r, take_ask, take_loan};
-    snprintf(r->name, sizeof(r->name), "r%d-%u", r->index, r->lives++);
+    snprintf(r->name, sizeof(r->name), "r%d-%u", r->index, r->generation++);
     r->lim = lim_create(&s->params, &out, s->now_ms);
     lim_on_peers(r->lim, (uint32_t)s->count - 1);
     lim_set(r->lim, WORKSPACE, s->limits);
@@ -143,14 +144,14 @@
 }
 
 static void
-hand_over(Script *s, const Message *m)
+deliver_message(Script *s, const Message *m)
 {
     Router *to = NULL;
     for (int i = 0; i < s->count; i++) {
         to = strcmp(s->routers[i].name, m->to) == 0 ? &s->routers[i] : to;
     }
     if (!to) {
-        return; /* that process has ended */
+        return; /* the addressed process was replaced */
     }
     if (m->is_loan) {
         Bg__LimitLoan loan = BG__LIMIT_LOAN__INIT;
@@ -181,7 +182,7 @@
         g_ptr_array_remove_index(s->messages, at);
     }
     if (strcmp(w[0], "drop") != 0) {
-        hand_over(s, &m);
+        deliver_message(s, &m);
     }
 }
 
--- a/tests/script_once.c
+++ b/tests/script_once.c
@@ -1,23 +1,24 @@
-/* Drives several at-most-once cores, each over its own fold, from a script
-   on standard input.  They share one log; a router sees an entry when the
-   script delivers it.  With --prompt a line "." ends each command's output.
-
-     begin R KEY BODY      a call at router R; prints its number
-     flush R [lost]        what R queued becomes one entry; lost: R does not
-                           learn of it and writes the same batch again
-     hold R                what R queued is on its way to the log
-     drop R                what R queued is given up
-     arrive                the oldest held batch reaches the log
-     again                 the newest held batch that arrived comes again
-     deliver R COUNT       R applies so many of the next entries
+/* Runs several at-most-once cores, each with its own fold, on a script from
+   standard input.  They share one log; a router sees an entry when the script
+   delivers it.  With --prompt a line "." ends each command's output.
+
+     begin R KEY BODY      starts a call at router R and prints its id
+     flush R [lost]        writes R's queued records as one entry; lost: R gets
+                           no acknowledgement and writes the batch again with
+                           the next flush
+     hold R                R's queued records are in transit to the log
+     drop R                discards R's queued records
+     arrive                the oldest batch in transit reaches the log
+     again                 the batch that arrived last is written once more
+     deliver R COUNT       R applies the next COUNT entries
      sent R ID / unsent R ID / answered R ID STATUS / broken R ID
-     refused R ID          the rest of the call's life at R
-     log R up|down         what R knows of the log
-     time MS               the time goes on for everybody
-     tick R                R looks at its clock
-     kill R                R starts over with nothing
+     refused R ID          the events of once.h for call ID
+     log R up|down         once_on_log
+     time MS               advances the time of all routers
+     tick R                once_on_tick
+     kill R                replaces R by a new process without state
      drain R
-     open R                calls without an ending */
+     open R                prints the number of calls without a final record */
 #include "bg_base.h"
 #include "fold.h"
 #include "once.h"
@@ -45,9 +46,9 @@
     uint32_t number;
     Fold *fold;
     OnceCore *core;
-    GQueue queue;   /* Bg__Record */
-    Bytes repeated; /* written, but its acknowledgement was lost */
-    guint seen;     /* entries applied */
+    GQueue queue;         /* Bg__Record */
+    Bytes unacknowledged; /* batch whose acknowledgement was lost */
+    guint seen;           /* number of entries applied */
 } Router;
 
 typedef struct Script {
@@ -130,8 +131,8 @@
     once_destroy(r->core);
     fold_destroy(r->fold);
     g_queue_clear_full(&r->queue, (GDestroyNotify)rec_free);
-    g_free(r->repeated.data);
-    r->repeated = (Bytes){NULL, 0};
+    g_free(r->unacknowledged.data);
+    r->unacknowledged = (Bytes){NULL, 0};
 }
 
 static Router *
@@ -149,7 +150,7 @@
     g_array_append_val(s->log, copy);
 }
 
-/* A batch of what R queued; empty when there is nothing. */
+/* Encodes R's queued records as a batch; data NULL: there are none. */
 static Bytes
 take_batch(Script *s, Router *r)
 {
@@ -173,9 +174,9 @@
 run_flush(Script *s, char **w)
 {
     Router *r = get_router(s, w[1]);
-    if (r->repeated.data) {
-        write_bytes(s, r->repeated);
-        g_clear_pointer(&r->repeated.data, g_free);
+    if (r->unacknowledged.data) {
+        write_bytes(s, r->unacknowledged);
+        g_clear_pointer(&r->unacknowledged.data, g_free);
     }
     Bytes b = take_batch(s, r);
     if (!b.data) {
@@ -183,7 +184,7 @@
     }
     write_bytes(s, b);
     if (w[2]) {
-        r->repeated = b;
+        r->unacknowledged = b;
     }
     else {
         g_free(b.data);
@@ -338,7 +339,7 @@
 
 typedef struct {
     const char *name;
-    int words; /* least, with the command itself */
+    int words; /* minimum, including the command itself */
     void (*run)(Script *s, char **w);
 } Command;
 
--- a/tests/script_rt.c
+++ b/tests/script_rt.c
@@ -1,20 +1,20 @@
-/* Drives the routing core from a script on standard input, one event a line,
-   and prints its decisions.  The same program serves the scripted tests, the
-   fuzzer and the bench of choices.
+/* Runs the routing core on a script from standard input, one event a line, and
+   prints its decisions.  It is used by the scripted tests, the fuzz test and
+   the benchmark of upstream selection.
 
      set KEY VALUE: before the first event; the keys are in run_set
-     at MS: the clock; a tick follows
-     state CENTRE EPOCH UPSTREAM ADDRESS WORD KNOWN INFLIGHT MODELS: WORD is
+     at MS: sets the clock; a tick follows
+     state CENTRE EPOCH UPSTREAM ADDRESS STATE KNOWN INFLIGHT MODELS: STATE is
    live, leaving or gone, KNOWN known or unknown, MODELS a,b or "-"
      arrive ID MODEL DEPLOYMENT WORKSPACE CLASS PRIORITY WAIT_MS LOAD_MS COST
    AFFINITY AGAIN: MODEL may be MODEL/BASE, or "-" for a service; AGAIN is
    once or again
-     done ID END MARK: END is ok, not_sent, turned_away, broken or cancelled,
-   MARK leaving, silent, late, died or "-"
-     death ID WORD: WORD is suspect or quarantined
+     done ID OUTCOME FLAG: OUTCOME is ok, not_sent, turned_away, broken or
+   cancelled, FLAG leaving, silent, late, died or "-"
+     death ID VERDICT: VERDICT is suspect or quarantined
      cancel ID
-     probe UPSTREAM ADDRESS WORD: WORD is well or ill
-     left UPSTREAM ADDRESS: another router's word
+     probe UPSTREAM ADDRESS HEALTH: HEALTH is well or ill
+     left UPSTREAM ADDRESS: announced by another router
      no_room MODEL RETRY_MS
      drain, wants, count */
 #include "rt.h"
@@ -64,7 +64,7 @@
 }
 
 static void
-print_left(void *ctx, const char *upstream, const char *address)
+print_leaving(void *ctx, const char *upstream, const char *address)
 {
     (void)ctx;
     printf("left %s %s\n", upstream, address);
@@ -90,8 +90,8 @@
 static void
 start_core(Script *s)
 {
-    RtOutput out = {s,           print_send, print_refuse, print_finish,
-                    print_probe, print_left};
+    RtOutput out = {s,           print_send,   print_refuse, print_finish,
+                    print_probe, print_leaving};
     if (!s->core) {
         s->core = rt_create(&s->params, &out);
     }
@@ -308,7 +308,7 @@
     while (fgets(line, sizeof(line), stdin)) {
         bool sync = line[0] == '.';
         if (sync) {
-            /* The fuzzer's mark: all output so far. */
+            /* Marks the end of the output so far, for the fuzz test. */
             puts(".");
             fflush(stdout);
         }
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: bounded queues, deadlines, and always somebody who refuses."""
+"""Admission: bounded queues, deadlines, and threads kept free for refusals."""
 
 import http.client
 import time
@@ -10,7 +10,7 @@
 
 ROUTER = "dc1-vm1-router"
 ENGINES = ("dc1-lm1", "dc1-lm2")
-AT_ONCE_S = 2.0  # a call that waits for the stalled load takes 10 s or more
+AT_ONCE_S = 2.0  # a call that waits for a stalled load takes at least 10 s
 
 
 def make_cluster(build, engines=2, **router):
@@ -47,7 +47,7 @@
 
 
 def split(answers):
-    """(answered, refused); refusals must be true to their form."""
+    """Returns (answered, refused) and checks the form of the refusals."""
     refused = [a for a in answers if a.status != 200]
     for a in refused:
         assert (a.status, a.outcome) == (503, "refused-not-run"), a.body
@@ -56,9 +56,9 @@
 
 
 def test_cold_model_leaves_threads_for_others(build):
-    """Twice as many callers as there are HTTP threads ask for a model whose
-    load hangs.  Those that fit wait; the others are refused at once; a
-    lookup and the balancer's check are answered all the while."""
+    """Twice as many callers as HTTP threads request a model whose load hangs.
+    Those that fit are queued, the others are refused at once, and a lookup
+    and the load balancer's health check are still answered."""
     with make_cluster(build) as c:
         c.publish_samples()
         stall_loads(c, True)
@@ -80,8 +80,8 @@
 
 
 def test_batch_leaves_threads_for_interactive(build):
-    """Batch callers wait for a load that hangs; an interactive caller of
-    another cold model still gets a place to wait."""
+    """Batch requests are queued for a load that hangs; an interactive request
+    for another cold model can still be queued."""
     with make_cluster(build) as c:
         c.publish_samples()
         stall_loads(c, True)
@@ -101,8 +101,8 @@
 
 
 def test_slow_services_leave_a_thread_to_refuse(build):
-    """Every thread but the reserve waits for a slow service.  One more call
-    is refused at once, and the balancer's check is answered."""
+    """All threads but the reserve wait for a slow service.  Another call is
+    refused at once, and the load balancer's health check is answered."""
     with make_cluster(build) as c:
         c.publish_samples()
         c.set_faults("dc1-sadasya-ledger", delay_ms=2000)
@@ -120,10 +120,10 @@
 
 
 def test_idle_connections_leave_threads(build):
-    """More callers than there are HTTP threads make one call each and keep
-    their connections open.  A thread that waits on an idle connection
-    serves nobody else, so once half are held answers end the connection and
-    the next caller is served at once."""
+    """More callers than HTTP threads make one call each and keep their
+    connections open.  An idle connection occupies a thread, so once half of
+    the threads are occupied the router closes connections after the answer,
+    and the next caller is served at once."""
     with make_cluster(build) as c:
         c.publish_samples()
         idle = []
@@ -140,8 +140,8 @@
 
 
 def test_each_class_has_its_own_bound(build):
-    """The batch queue is full; batch callers are refused as not run and the
-    interactive queue takes its own."""
+    """The batch queue is full: batch requests are refused as not run, and
+    interactive requests are still queued."""
     with make_cluster(build, max_waiting_batch=3) as c:
         c.publish_samples()
         stall_loads(c, True)
@@ -162,8 +162,8 @@
 
 
 def test_deadline_that_cannot_be_met(build):
-    """The caller has less time than the load takes: it is told at once, and
-    when to come again.  The model is loaded for it meanwhile."""
+    """The deadline is before the end of the load: the request is refused at
+    once with Retry-After, and the model is loaded meanwhile."""
     with make_cluster(build) as c:
         c.publish_samples()
         a = ask_model(c, "board-summary", X_Deadline_Ms=1000)
@@ -179,8 +179,8 @@
 
 
 def test_deadline_passes_while_waiting(build):
-    """The load takes longer than thought.  The caller is refused as not run
-    when its time is over, not when the load ends."""
+    """The load takes longer than estimated.  The request is refused as not
+    run at its deadline, not when the load ends."""
     with make_cluster(build) as c:
         c.publish_samples()
         stall_loads(c, True)
@@ -198,8 +198,8 @@
 
 
 def test_higher_priority_goes_first(build):
-    """One engine that takes one call at a time and a backlog of twelve of
-    priority 5: the registry's call, of priority 8, passes the backlog."""
+    """One engine takes one call at a time and has a backlog of twelve calls
+    of priority 5: a call of priority 8 is served before them."""
     with make_cluster(build, engines=1, per_upstream=1) as c:
         c.publish_samples()
         assert ask_model(c, "bulletin-draft").status == 200
@@ -222,9 +222,9 @@
 
 
 def test_overload_is_refused_early(build):
-    """Four times what one engine can do within the callers' deadline: the
-    surplus is refused when it arrives or as soon as it is known, and what
-    was taken in is answered in time."""
+    """With four times the load that one engine can serve within the deadline,
+    the excess is refused on arrival or as soon as it is known, and admitted
+    requests are answered in time."""
     with make_cluster(build, engines=1, per_upstream=2) as c:
         c.publish_samples()
         for i in range(4):
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,5 +1,4 @@
-"""Whole answers: what a caller reads is all of its own answer, or says that
-it is not."""
+"""A caller gets its own and complete answer, or an error that says so."""
 
 import json
 import socket
@@ -58,7 +57,7 @@
 
 
 def open_call(c, doc, mark):
-    """Send a completion on a raw connection; the socket."""
+    """Sends a completion on a raw connection and returns the socket."""
     body = json.dumps(doc).encode()
     s = socket.create_connection(("127.0.0.1", c.port(ROUTER)), 20)
     s.sendall(("POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
@@ -82,9 +81,9 @@
 
 
 def test_cut_stream_is_resumed(cluster):
-    """The engine's connection is cut after five tokens.  The caller has
-    read five; a stream started over would repeat them, one given up would
-    lack the rest.  The router asks for the tokens from the sixth on."""
+    """The engine's connection breaks after five tokens, which the caller
+    already has.  The router requests the answer again from the sixth token on,
+    and the caller gets each token once."""
     set_engines(cluster, cut_stream_after=5)
     a = cluster.complete(ROUTER, "drafting", "bulletin-draft", "resumed",
                          stream=True, tokens=20)
@@ -93,19 +92,19 @@
     assert read_metric(cluster, "router_resumed_streams_total") >= 1
 
 
-def test_stream_cut_before_its_last_word_is_resumed(cluster):
-    """All tokens came and the connection was cut before [DONE]: the caller
-    must not be told that it has everything by anybody but the engine."""
+def test_stream_cut_before_its_end_is_resumed(cluster):
+    """All tokens came and the connection broke before [DONE]: the router must
+    not add [DONE] by itself, as only the engine knows the end."""
     set_engines(cluster, cut_stream_after=9)
     a = cluster.complete(ROUTER, "drafting", "bulletin-draft", "last word",
                          stream=True, tokens=8)
     assert stream_text(a.body) == (expected_text("last word", 8), True)
 
 
-def test_stream_that_cannot_go_on_says_so(cluster):
-    """Every engine cuts the stream at the same token.  After a bounded
-    number of sendings the caller reads an error event; neither [DONE] nor
-    the closing chunk follows, so no client takes the part for the whole."""
+def test_stream_that_cannot_go_on_ends_with_an_error(cluster):
+    """Every engine cuts the stream at the same token.  After a limited number
+    of attempts the caller gets an error event, and neither [DONE] nor the last
+    chunk, so that no client takes the stream for complete."""
     set_engines(cluster, cut_stream_after=5, cut_streams=100)
     s = open_call(cluster, make_doc("broken off", True, 20), "cut-1")
     data = read_all(s)
@@ -118,8 +117,8 @@
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_engine_dies_while_it_generates(build, stream):
-    """One of the two engines that hold the model is killed mid-answer.  The
-    request goes on at the other, a stream from the next token."""
+    """One of the two engines with the model is killed during an answer.  The
+    request is retried on the other, a stream from the next token on."""
     settings = {"placer": {"placer": {"per_replica": 1}}}
     with Cluster(build, centres=("dc1",), vms_per_centre=1,
                  settings=settings) as c:
@@ -144,16 +143,17 @@
 
 
 def test_short_answer_is_run_again(cluster):
-    """The engine's answer ends before its Content-Length.  Nothing has
-    reached the caller, and generation is idempotent: it is run again."""
+    """The engine's answer is shorter than its Content-Length.  The caller has
+    got nothing, and generation is idempotent: it is run again."""
     set_engines(cluster, short_answers=1)
     a = cluster.complete(ROUTER, "drafting", "bulletin-draft", "short")
     assert a.status == 200
     assert a.json()["choices"][0]["text"] == expected_text("short", 8)
 
 
-def test_short_answers_never_pass_as_whole(cluster):
-    """Every sending ends short: the caller is told that it may have run."""
+def test_truncated_answers_are_never_passed_on(cluster):
+    """The answer to each attempt is truncated: the caller gets "may have
+    run"."""
     set_engines(cluster, short_answers=100)
     a = cluster.complete(ROUTER, "drafting", "bulletin-draft", "always short")
     assert (a.status, a.outcome) == (502, "failed-may-have-run")
@@ -161,9 +161,8 @@
 
 @pytest.mark.parametrize("fault", ["drop_answers", "short_answers"])
 def test_service_call_is_never_run_again(cluster, fault):
-    """The service ran the call and its answer was lost or cut.  A second
-    run could charge a card twice; the caller is told that it may have
-    run."""
+    """The service ran the call and its answer was lost or truncated.  A second
+    run could charge a card twice: the caller gets "may have run"."""
     cluster.set_faults("dc1-sadasya-ledger", **{fault: 1})
     mark = "svc-" + fault
     a = cluster.ask(ROUTER, "registry", "/v1/services/member-lookup/m/1",
@@ -174,8 +173,8 @@
 
 
 def test_crossed_answer_is_not_passed_on(cluster):
-    """The engine hands a call the answer of the call before it.  Both are
-    well-formed; only the attempt's id tells that it is a stranger's."""
+    """The engine answers a call with the answer of the previous call.  Both
+    are well-formed; only the attempt id shows the mix-up."""
     warm(cluster, "bulletin-draft")
     set_engines(cluster, cross_answers=1)
     a = cluster.complete(ROUTER, "drafting", "bulletin-draft", "mine")
@@ -184,8 +183,8 @@
 
 
 def test_late_answer_is_not_read_by_the_next_call(cluster):
-    """The engine goes silent past the limit, then answers the old call when
-    the next one is under way.  The old connection is closed by then."""
+    """The engine is silent until the timeout, then answers the old call while
+    the next one is in progress.  The old connection must be closed by then."""
     set_engines(cluster, silent=True)
     with ThreadPoolExecutor(2) as pool:
         first = pool.submit(cluster.complete, ROUTER, "drafting",
@@ -200,7 +199,7 @@
     assert b.json()["choices"][0]["text"] == expected_text("punctual", 8)
 
 
-def test_every_sending_has_its_own_id(cluster):
+def test_every_attempt_has_its_own_id(cluster):
     set_engines(cluster, short_answers=1)
     assert cluster.complete(ROUTER, "drafting", "bulletin-draft",
                             "ids").status == 200
@@ -210,9 +209,8 @@
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_caller_gone_cancels_the_generation(cluster, stream):
-    """The caller closes its connection while the engine generates.  What it
-    no longer wants would hold an accelerator: the upstream call is closed
-    and the engine sees it."""
+    """The caller disconnects while the engine generates.  The router closes
+    the upstream call, and the engine stops using its accelerator for it."""
     before = sum_audit(cluster, "cancels")
     mark = "gone-%s" % stream
     set_engines(cluster, token_ms=50)
@@ -226,9 +224,9 @@
 
 
 def test_caller_gone_while_it_waits(cluster):
-    """The caller closes while its model loads, and the load hangs: its
-    place in the queue and its thread are free at once, and nothing is run
-    for it later."""
+    """The caller disconnects while the load of its model hangs: its queue
+    entry and its thread are released at once, and the request does not run
+    later."""
     set_engines(cluster, stall_loads=True)
     s = open_call(cluster, make_doc("left", False, 8, "board-summary"),
                   "gone-waiting")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,5 +1,5 @@
-"""Limits of a workspace hold over all routers, and a refusal says truly when
-to come again."""
+"""The limits of a workspace hold across all routers, and Retry-After of a
+refusal is accurate."""
 
 import hashlib
 import os
@@ -48,7 +48,7 @@
     c.wait_ready()
     wait_until(lambda: all(c.dump(r)["state"]["upstreams"]
                            for r in c.routers()), 10, "upstreams")
-    # A router lends nothing in its first lease.
+    # A router lends nothing during its first lease.
     time.sleep(1.8)
     return c
 
@@ -74,8 +74,8 @@
     return a
 
 
-def press(c, routers, seconds, threads=4):
-    """Calls answered when every router is asked as fast as it answers."""
+def overload(c, routers, seconds, threads=4):
+    """Calls each of ROUTERS in closed loops; the number of answers."""
     until = time.monotonic() + seconds
 
     def run(router):
@@ -92,26 +92,25 @@
 
 
 def test_rate_holds_over_two_routers(start_cluster):
-    """Callers press both routers at once.  Each alone would let the whole
-    limit through; together they pass no more than it, and the two seconds'
-    worth that a bucket may hold."""
+    """Callers overload both routers.  Together the routers admit no more than
+    the limit plus the two seconds' worth that a bucket can hold."""
     c = start_cluster(2, requests_per_second=20)
-    answered = press(c, c.routers(), 5)
+    answered = overload(c, c.routers(), 5)
     assert 80 <= answered <= 20 * 5 + 20 * 2 + 10
 
 
-def test_share_moves_to_where_the_callers_are(start_cluster):
-    """All callers come to one router.  Its half of the limit would be all
-    that they get; the other router lends what it has no use for."""
+def test_share_moves_to_the_busy_router(start_cluster):
+    """All callers use one router.  It admits more than its half of the limit,
+    as the other router lends its unused share."""
     c = start_cluster(2, requests_per_second=40)
     router = c.routers()[0]
-    press(c, [router], 3)
-    assert press(c, [router], 4) > 40 / 2 * 4 * 1.15
+    overload(c, [router], 3)
+    assert overload(c, [router], 4) > 40 / 2 * 4 * 1.15
 
 
 def test_concurrency_holds_over_two_routers(start_cluster):
-    """Twelve slow calls at each of two routers: the service never has more
-    than the limit at once."""
+    """With twelve slow calls at each of two routers, the service never has
+    more calls in flight than the limit."""
     c = start_cluster(2, concurrency=4)
     c.set_faults("dc1-sadasya-ledger", delay_ms=400)
     with ThreadPoolExecutor(24) as pool:
@@ -123,10 +122,9 @@
     assert peak <= 4
 
 
-def test_tokens_and_a_true_retry_after(start_cluster):
-    """One answer takes half as much again as the bucket holds.  The next
-    call is refused with the time until the debt is paid, and is let in when
-    it comes back then."""
+def test_tokens_and_retry_after(start_cluster):
+    """One answer uses more tokens than the bucket holds.  The next call is
+    refused with the time until the debt is paid, and is admitted after it."""
     c = start_cluster(1, tokens_per_minute=6000)
     router = c.routers()[0]
     for e in c.engines:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,5 +1,5 @@
-"""bglade-load stays usable: one short run through its own stand-ins, no
-timing asserted."""
+"""bglade-load works: short runs against its own simulators, without
+assertions on performance."""
 
 import json
 import os
@@ -34,7 +34,7 @@
 
 @pytest.fixture(scope="module")
 def engine(tool):
-    """The first port of two engines with the models m0 and m1."""
+    """The first port of two simulated engines with the models m0 and m1."""
     port = free_port()
     proc = start(tool, "engine", "--port", port, "--engines", 2, "--loaded",
                  "m0,m1", "--token-us", 200, "--threads", 16,
@@ -79,8 +79,8 @@
 
 
 def test_run_sees_a_wrong_answer(tool, build):
-    """The stand-in of the tests answers without the stream's end: the
-    stream is cut, and the tool must not take it for a whole answer."""
+    """An engine cuts a stream before its end: the tool must not count it as a
+    complete answer."""
     port = free_port()
     script = os.path.join(os.path.dirname(__file__), "fake_engine.py")
     proc = subprocess.Popen(["/usr/bin/python3", script, "--port", str(port),
@@ -105,8 +105,9 @@
         proc.wait()
 
 
-def test_engine_speaks_like_the_tests_engine(tool, engine):
-    """Orders, fencing numbers and the report's shape, as fake_engine.py."""
+def test_simulated_engine_has_the_engine_api(tool, engine):
+    """Orders, fencing tokens and the report's format are those of
+    fake_engine.py."""
     order = {"model": "m9", "memory_mb": 10, "load_id": "l1", "fence": 5,
              "load_ms": 100}
     loaded = call(engine, "POST", "/control/load", order)
@@ -130,7 +131,7 @@
     assert gone.status == 200 and gone.json()["state"] == "absent"
 
 
-def test_log_stand_in_keeps_order_and_rate(tool):
+def test_simulated_log_keeps_order_and_rate(tool):
     port = free_port()
     proc = start(tool, "log", "--listen", "127.0.0.1:%d" % port, "--rate",
                  100, "--keep", 4, "--threads", 8)
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -1,4 +1,5 @@
-"""Non-idempotent calls run at most once, whatever fails on the way."""
+"""Non-idempotent calls run at most once under faults of routers, log and
+service."""
 
 import signal
 import time
@@ -14,7 +15,8 @@
 
 
 def start(build, *proxied):
-    """One data centre, two routers, one ledger; proxies before PROXIED."""
+    """One data centre, two routers, one ledger service; a proxy in front of
+    each of PROXIED."""
     c = Cluster(build, centres=("dc1",), engines=[],
                 settings={"router": {"router": {"claim_wait_ms": 1500}}})
     for name in proxied:
@@ -27,7 +29,7 @@
     for router in ROUTERS:
         wait_until(lambda r=router: register(c, r, "warm-" + r).status
                    == 200, 15, "ledger at " + router)
-        # A fault that a test sets next is meant for its own records.
+        # Faults that a test sets must affect only its own records.
         wait_until(lambda r=router: c.dump(r)["state"]["once"]["ending"] == 0,
                    10, "recorded results of " + router)
 
@@ -40,7 +42,7 @@
 
 
 def register(c, router, key, doc=None, headers=None, timeout=40.0, path=PATH):
-    """Register a certificate; its runs are counted under KEY."""
+    """Registers a certificate; the service counts its runs under KEY."""
     head = {"Idempotency-Key": key, "X-Run-Id": key}
     head.update(headers or {})
     return c.ask(router, "registry", path, doc or {"plot": 7}, head, timeout)
@@ -51,16 +53,15 @@
 
 
 def wait_step(c, key_count, router=ROUTERS[1]):
-    """Wait until ROUTER's fold holds KEY_COUNT keys."""
+    """Waits until ROUTER's fold has KEY_COUNT keys."""
     wait_until(lambda: c.dump(router)["fold"]["keys"] == key_count, 10,
                "%d keys" % key_count)
 
 
 def test_repeat_gets_the_recorded_answer(cluster):
-    """The caller lost the first answer and sends the call again, to another
-    router.  It gets the first answer once more, marked as replayed, with
-    status, type and body; the ledger ran it once.  The same key with another
-    body is turned away."""
+    """A caller that lost the first answer repeats the call at another router.
+    It gets the recorded status, type and body, marked as replayed; the ledger
+    ran the call once.  The same key with another body is refused."""
     first = register(cluster, ROUTERS[0], "k1")
     assert (first.status, first.outcome) == (200, "answered")
     assert "X-Bglade-Replayed" not in first.headers
@@ -76,8 +77,8 @@
 
 
 def test_a_key_belongs_to_its_workspace(cluster):
-    """Two workspaces use one key by chance; neither sees the other's answer
-    and both calls run."""
+    """Two workspaces use the same key: both calls run, and neither gets the
+    other's answer."""
     register(cluster, ROUTERS[0], "shared")
     a = cluster.ask(ROUTERS[1], "care", "/v1/services/card-charge/x", {},
                     {"Idempotency-Key": "shared"})
@@ -86,10 +87,9 @@
 
 
 def test_same_moment_at_two_routers_runs_once(cluster):
-    """On a busy morning one certificate is sent to both routers at the same
-    moment, ten times each, while the ledger takes its time.  Both append a
-    claim; the fold names one winner, the others hear "in progress" or get
-    the winner's answer."""
+    """One call is sent to both routers concurrently, ten times each, while
+    the ledger is slow.  Both routers append a claim and one wins in the fold;
+    the other calls get "in progress" or the winner's answer."""
     cluster.set_faults(LEDGER, delay_ms=300)
     with ThreadPoolExecutor(20) as pool:
         answers = list(pool.map(
@@ -105,11 +105,11 @@
 
 
 def test_router_killed_between_send_and_record(cluster):
-    """The ledger runs the call, the router is killed before the answer is
-    recorded.  The repeat at the other router finds the claim without an
-    ending: "in progress" until the claim expires, then "may have run",
-    never a second run."""
-    # Calls of at most 1 s: their claims expire 6 s after they were made.
+    """The ledger runs the call, and the router is killed before it records
+    the answer.  The other router finds the claim without a final record: it
+    answers "in progress" until the claim expires, then "may have run", and
+    never runs the call again."""
+    # With calls of at most 1 s, claims expire after 6 s.
     cluster.publish_changed("idempotency = required",
                             "idempotency = required\nwait_ms = 1000")
     cluster.set_faults(LEDGER, delay_ms=3000)
@@ -129,9 +129,9 @@
 
 
 def test_router_killed_between_claim_and_send(cluster):
-    """The claim is in the log and the router dies before it sends: its own
-    reading of the log is held up, so it cannot know yet that it won.  Nothing
-    ran, but nobody can know: the repeat is not run."""
+    """The claim is in the log and the router is killed before it sends, as
+    its reads of the log are delayed and it has not seen that it won.  Nothing
+    ran, but that can't be known: the repeat is not run."""
     cluster.set_proxy("log", one_way="down")
     with ThreadPoolExecutor(1) as pool:
         job = pool.submit(register, cluster, ROUTERS[0], "claimed")
@@ -147,10 +147,10 @@
 
 
 def test_lost_acknowledgement_of_the_claim(cluster):
-    """The log takes the claim but its acknowledgement is lost.  The router
-    writes the batch again and takes its win from what it reads, not from the
-    acknowledgement: the call runs, once, and its repeat is replayed.  The
-    second copy comes while the call runs and must not be taken for a loss."""
+    """The log stores the claim but its acknowledgement is lost.  The router
+    writes the batch again, and sees that it won when it reads the log: the
+    call runs once, and its repeat is replayed.  The duplicate arrives while
+    the call runs and must not count as a lost claim."""
     cluster.set_faults(LEDGER, delay_ms=700)
     cluster.set_faults("log", drop_acks=2)
     a = register(cluster, ROUTERS[0], "ack")
@@ -161,8 +161,8 @@
 
 
 def test_outage_of_the_log(cluster):
-    """The log service is down.  The call is refused at once as not run, not
-    after the claim's bound; after the outage the same key runs once."""
+    """While the log service is down a call is refused at once as not run, not
+    after the claim's timeout; after the outage the same key runs once."""
     cluster.set_faults("log", down=True)
     wait_until(lambda: not cluster.dump(ROUTERS[0])["log_reachable"], 10,
                "outage seen")
@@ -171,7 +171,7 @@
     assert time.monotonic() - start < 1.0
     assert (a.status, a.outcome) == (503, "refused-not-run")
     assert int(a.headers["Retry-After"]) >= 1
-    # What is recorded is still answered.
+    # A recorded answer is still replayed.
     kept = register(cluster, ROUTERS[0], "warm-" + ROUTERS[0])
     assert kept.headers["X-Bglade-Replayed"] == "true"
     cluster.set_faults("log", down=False)
@@ -181,9 +181,9 @@
 
 
 def test_slow_log_refuses_and_never_sends_late(cluster):
-    """The log takes 4 s for an append, the claim may wait 1.5 s.  The caller
-    is refused as not run at the bound.  The claim wins later all the same;
-    nothing is sent for it, it is released, and the key can run then."""
+    """An append takes 4 s, and the claim's timeout is 1.5 s: the call is
+    refused as not run.  The claim still wins later; nothing is sent for it,
+    it is released, and the key can run then."""
     cluster.set_faults("log", slow_ms=4000)
     start = time.monotonic()
     a = register(cluster, ROUTERS[0], "slow")
@@ -202,9 +202,9 @@
                                    {"drop_answers": 5}],
                          ids=["dies-after-run", "answer-lost"])
 def test_broken_after_send_may_have_run(cluster, fault):
-    """The ledger runs the call and its answer never comes: it dies, or the
-    connection closes.  The caller is told that the call may have run, the
-    router does not send it again, and neither does a repeat."""
+    """The ledger runs the call and then dies, or closes the connection
+    without an answer.  The caller gets "may have run"; neither the router nor
+    a repeat sends the call again."""
     cluster.set_faults(LEDGER, **fault)
     a = register(cluster, ROUTERS[0], "broken")
     assert (a.status, a.outcome) == (502, "failed-may-have-run")
@@ -224,9 +224,9 @@
 
 
 def test_released_claim_can_run_next_time(cluster):
-    """The ledger is gone and refuses connections: the claim is held, no byte
-    goes out, and the call is refused as not run.  When the ledger is back
-    the same key runs, once."""
+    """The ledger is down and refuses connections: the claim wins, no byte is
+    sent, and the call is refused as not run.  When the ledger is up again the
+    same key runs once."""
     cluster.procs[LEDGER].kill()
     a = register(cluster, ROUTERS[0], "later")
     assert (a.status, a.outcome) == (503, "refused-not-run")
@@ -238,8 +238,8 @@
 
 
 def test_answer_too_large_to_keep(cluster):
-    """The ledger echoes 100 KB.  The first caller gets it all; the record
-    keeps no answer of that size and the repeat is told that the call ran."""
+    """The ledger echoes 100 KB.  The first caller gets it all; an answer of
+    that size is not recorded, and the repeat is told that the call ran."""
     first = register(cluster, ROUTERS[0], "large", {"x": "y" * 100000})
     assert first.status == 200
     assert len(first.body) > 100000
@@ -253,9 +253,9 @@
 
 
 def test_paused_router_never_sends_late(cluster):
-    """A router is paused right after its claim was appended and resumes when
-    its caller's bound has long passed.  The claim has won meanwhile; nothing
-    may be sent for it now."""
+    """A router is paused after it appended its claim, and resumes after the
+    claim's timeout.  The claim has won meanwhile; nothing may be sent for
+    it."""
     cluster.set_proxy("log", delay_ms=400)
     with ThreadPoolExecutor(1) as pool:
         job = pool.submit(register, cluster, ROUTERS[0], "paused")
@@ -269,9 +269,9 @@
 
 
 def test_stop_between_claim_and_record(cluster):
-    """A router is told to stop while a call waits for its claim and while
-    another runs.  Both are finished and recorded before it exits, so that
-    their repeats are replayed."""
+    """A router gets SIGTERM while one call runs and another waits for its
+    claim.  Both are finished and recorded before it exits, so that their
+    repeats are replayed."""
     cluster.set_faults(LEDGER, delay_ms=700)
     cluster.set_faults("log", slow_ms=200)
     with ThreadPoolExecutor(2) as pool:
@@ -293,10 +293,10 @@
 
 
 def test_pooled_connection_is_never_used(build):
-    """A lookup leaves a connection that could be used again; the ledger
-    closes connections without an answer.  On a connection that was used
-    before, an HTTP library sends the call a second time by itself.  And a
-    device forgets the old connections, so that they go silent."""
+    """Lookups leave pooled connections, which a non-idempotent call must not
+    use.  If the ledger closes one without an answer, curl sends the call
+    again by itself; or it is silent, as a network device dropped its
+    state."""
     look = "/v1/services/member-lookup/members/1"
     with start(build, LEDGER) as c:
         warm(c)
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -37,8 +37,8 @@
 
 
 def restart_small(c):
-    """Dead engines come back with too little memory for the model, so that
-    it is loaded on another one."""
+    """Restarts dead engines with too little memory for the model, so that it
+    is loaded on another one."""
     for e in c.engines:
         if not c.procs[e["id"]].is_running():
             e["args"] = {"memory_mb": 1000}
@@ -55,18 +55,16 @@
 
 
 def wait_quarantine(c):
-    """Wait until every router has read the second death."""
+    """Waits until every router has read the second death."""
     for router in ROUTERS:
         wait_until(lambda r=router: c.dump(r)["fold"]["quarantined_requests"]
                    == 1, 10, "quarantine at " + router)
 
 
-
 def test_second_death_quarantines_on_every_router(cluster):
-    """A caller's request crashes the engine that runs it.  It is tried again,
-    alone, and crashes the second: there it ends, and no router gives it to a
-    third.  Sent again, it gets its final answer at once, 422, and others'
-    requests are served."""
+    """A request crashes the engine that runs it, is retried on an idle one,
+    and crashes that too.  No router sends it to a third.  A repeat is refused
+    at once with 422, and other requests are served."""
     a = ask(cluster, ROUTERS[0], DEADLY)
     assert a.outcome == "failed-may-have-run"
     assert a.status in (422, 502)  # 422 once the second death is recorded
@@ -86,11 +84,11 @@
 
 
 def test_slow_death_counts_too(build):
-    """A caller's request crashes the engine that runs it; the dying process
-    still takes connections for a moment, and closes them.  The first question
-    after the break finds a port that is neither refused nor answers.  Taken
-    for no death, the caller would wait for its deadline (504) while the
-    request went on to a third engine."""
+    """A request crashes its engine, whose dying process still accepts
+    connections for a moment and closes them.  So the first probe after the
+    break is neither refused nor answered.  If that did not count as a death,
+    the request would go on to a third engine and the caller get 504 at its
+    deadline."""
     slow = [dict(e, args={"die_slowly_ms": 150}) for e in engines(3)]
     with Cluster(build, centres=("dc1",), engines=slow, services=[]) as c:
         c.publish_samples()
@@ -100,11 +98,11 @@
         assert len(alive(c)) == 1
 
 
-def test_innocent_beside_a_death_is_served_and_cleared(cluster):
-    """A slow request runs on the engine that is killed.  It carries a
-    recorded death that was not its doing; it is tried again elsewhere, alone,
-    is answered whole, and is cleared, so that a later unrelated death does
-    not quarantine it."""
+def test_request_beside_a_death_is_served_and_cleared(cluster):
+    """A slow request runs on an engine that is killed, and a death that it did
+    not cause is recorded for it.  It is retried on an idle engine, answered
+    completely and cleared, so that a later unrelated death does not quarantine
+    it."""
     wait_until(lambda: ask(cluster, ROUTERS[0], "warm").status == 200, 20,
                "a warm replica")
     for e in cluster.engines:
@@ -130,8 +128,8 @@
 
 def test_suspect_runs_alone(cluster):
     """After one death the request is a suspect.  While it runs, its router
-    gives the same engine nothing else, so whatever it kills, it kills alone:
-    of the requests sent beside it none is lost."""
+    sends no other request to the same engine, so that none fails if the engine
+    dies."""
     wait_until(lambda: ask(cluster, ROUTERS[0], "warm").status == 200, 20,
                "a warm replica")
     # Too little time for a second replica to load: one death, no retry.
@@ -155,8 +153,8 @@
 
 
 def test_timeout_is_no_death(cluster):
-    """An engine goes silent under a request until the caller's time is up.
-    It did not die: nothing is recorded against the request."""
+    """An engine is silent until the request's deadline.  It did not die:
+    nothing is recorded for the request."""
     cluster.publish_changed("wait_ms = 20000", "wait_ms = 5000")
     wait_until(lambda: ask(cluster, ROUTERS[0], "warm").status == 200, 20,
                "a warm replica")
@@ -171,9 +169,9 @@
 
 
 def test_restart_behind_a_balancer_counts(build):
-    """The engine sits behind a TCP forwarder that accepts connections even
-    when the process is dead, and is restarted by its supervisor.  No
-    connection is refused, but another boot is reported: that is a death."""
+    """The engine is behind a TCP forwarder that accepts connections even when
+    the process is dead, and is restarted.  No connection is refused, but the
+    report has another boot id: that counts as a death."""
     with_proxy = Cluster(build, centres=("dc1",), engines=engines(1),
                          services=[])
     with_proxy.add_proxy("dc1-lm1")
@@ -189,9 +187,8 @@
 
 
 def test_deadly_call_of_a_service(build):
-    """A lookup crashes the plain service that answers it; calls of services
-    are watched like completions.  The second instance to die is the last:
-    a third is not tried."""
+    """A lookup crashes the service that runs it; service calls are quarantined
+    like completions.  After the second death a third instance is not tried."""
     ledgers = [{"id": "dc1-ledger%d" % i, "centre": "dc1",
                 "deployment": "sadasya-ledger"} for i in range(3)]
     look = "/v1/services/member-lookup/members/666"
@@ -206,15 +203,11 @@
         wait_until(lambda: deaths(c, ROUTERS[1]) == 1, 10, "the record")
         answers.append(c.ask(ROUTERS[1], "registry", look, {}))
         wait_quarantine(c)
-
-
-        
         assert [a.outcome for a in answers] == ["failed-may-have-run"] * 2
         assert [a.status for a in answers] == [502, 422]
         for router in ROUTERS:
             a = c.ask(router, "registry", look, {})
             assert (a.status, a.outcome) == (422, "refused-not-run")
-        
         running = [s["id"] for s in ledgers
                    if c.procs[s["id"]].is_running()]
         assert len(running) == 1
