--- a/src/desk.c
+++ b/src/desk.c
@@ -200,18 +200,18 @@
 desk_enter_class(Desk *d, CfgClass class_)
 {
     uint32_t max_active = d->max_active;
-    uint32_t held[CFG_CLASSES];
+    uint32_t calls[CFG_CLASSES];
     atomic_fetch_add(&d->active_models[class_], 1);
     for (int i = 0; i < CFG_CLASSES; i++) {
-        held[i] = atomic_load(&d->active_models[i]);
+        calls[i] = atomic_load(&d->active_models[i]);
     }
     switch (class_) {
     case CFG_BATCH:
-        return held[CFG_BATCH] <= max_active / 2;
+        return calls[CFG_BATCH] <= max_active / 2;
     case CFG_INTERACTIVE:
-        return held[CFG_BATCH] + held[CFG_INTERACTIVE] <= max_active / 4 * 3;
+        return calls[CFG_BATCH] + calls[CFG_INTERACTIVE] <= max_active / 4 * 3;
     case CFG_LOOKUP:
-        return held[CFG_LOOKUP] + held[CFG_BATCH] + held[CFG_INTERACTIVE] <=
+        return calls[CFG_LOOKUP] + calls[CFG_BATCH] + calls[CFG_INTERACTIVE] <=
                max_active / 8 * 7;
     }
     return false;
--- a/src/fe.c
+++ b/src/fe.c
@@ -63,7 +63,7 @@
     return g_string_free(text, FALSE);
 }
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation and destruction ------------------------------------------- */
 
 static void
 free_model(gpointer p)
--- a/src/ld.c
+++ b/src/ld.c
@@ -456,7 +456,7 @@
     }
 }
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation and destruction ------------------------------------------- */
 
 static LoadRun *
 create_run(const LdParams *p)
--- a/src/lim.c
+++ b/src/lim.c
@@ -55,7 +55,7 @@
 /* Capacity of a bucket, as the time in which it fills. */
 static const uint64_t bursts_ms[LIM_KINDS] = {2000, 10000, 1};
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation and destruction ------------------------------------------- */
 
 static void
 clear_lent(gpointer p)
--- a/src/once.c
+++ b/src/once.c
@@ -46,7 +46,7 @@
     bool draining;
 };
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation and destruction ------------------------------------------- */
 
 static void
 free_attempt(gpointer p)
--- a/src/rt.c
+++ b/src/rt.c
@@ -78,7 +78,7 @@
     return names[reason];
 }
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation and destruction ------------------------------------------- */
 
 static void
 free_request(gpointer p)
@@ -172,7 +172,7 @@
 }
 
 static uint32_t
-count_waiting(const Target *t)
+count_queued(const Target *t)
 {
     return fq_count(t->queue) + t->retrying.length;
 }
@@ -217,7 +217,7 @@
 static void
 start_load_timer(Target *t, uint64_t now_ms)
 {
-    bool in_demand = count_waiting(t) > 0 || t->demand_until_ms > now_ms;
+    bool in_demand = count_queued(t) > 0 || t->demand_until_ms > now_ms;
     if (!t->cold_since_ms || !in_demand) {
         t->cold_since_ms = now_ms;
     }
@@ -240,12 +240,12 @@
 static void
 mark_active(RtCore *c, Target *t)
 {
-    bool waits = count_waiting(t) > 0;
-    if (waits && !t->active) {
+    bool has_queued = count_queued(t) > 0;
+    if (has_queued && !t->active) {
         g_queue_push_tail(&c->active, t);
         t->active = c->active.tail;
     }
-    else if (!waits && t->active) {
+    else if (!has_queued && t->active) {
         g_queue_delete_link(&c->active, t->active);
         t->active = NULL;
     }
@@ -269,7 +269,7 @@
 }
 
 static bool
-is_waiting(const Request *q)
+is_queued(const Request *q)
 {
     return q->node.lane || q->retry_link;
 }
@@ -277,7 +277,7 @@
 static void
 dequeue(RtCore *c, Request *q, bool served)
 {
-    if (!is_waiting(q)) {
+    if (!is_queued(q)) {
         return;
     }
     if (q->retry_link) {
@@ -542,7 +542,7 @@
         refuse(c, q, RT_REFUSED_DRAINING, 0);
         return;
     }
-    Up *u = count_waiting(t) == 0 ? choose_upstream(c, q, now_ms) : NULL;
+    Up *u = count_queued(t) == 0 ? choose_upstream(c, q, now_ms) : NULL;
     if (u) {
         send_to(c, q, u, now_ms);
         return;
@@ -660,7 +660,7 @@
 {
     (void)now_ms;
     Request *q = g_hash_table_lookup(c->requests, &id);
-    if (!q || !is_waiting(q)) {
+    if (!q || !is_queued(q)) {
         return false;
     }
     drop_request(c, q);
@@ -825,7 +825,7 @@
     Bg__Want *w = g_new(Bg__Want, 1);
     bg__want__init(w);
     w->model = g_strdup(t->name);
-    w->waiting = MAX(count_waiting(t), 1);
+    w->waiting = MAX(count_queued(t), 1);
     w->slack_ms = get_slack(t, now_ms);
     w->priority = fq_get_top_priority(t->queue);
     d->wants[d->n_wants++] = w;
@@ -858,7 +858,7 @@
         if (t->service) {
             continue;
         }
-        if (count_waiting(t) > 0 || t->demand_until_ms > now_ms) {
+        if (count_queued(t) > 0 || t->demand_until_ms > now_ms) {
             add_model_demand(d, t, now_ms);
         }
         if (t->inflight > 0 || now_ms - t->last_used_ms < RECENT_USE_MS) {
@@ -886,7 +886,7 @@
         json_array_append_new(
             targets,
             json_pack("{s:s, s:i, s:i, s:i, s:i}", "name", t->name, "waiting",
-                      (int)count_waiting(t), "inflight", (int)t->inflight,
+                      (int)count_queued(t), "inflight", (int)t->inflight,
                       "load_ms", (int)t->load_ms, "run_ms", (int)t->run_ms));
     }
     return targets;
--- a/src/up.c
+++ b/src/up.c
@@ -43,7 +43,7 @@
     GHashTable *departed;
 };
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation and destruction ------------------------------------------- */
 
 static void
 free_up(Up *u)
@@ -485,8 +485,8 @@
 up_choose(UpSet *s, uint64_t now_ms, const UpQuery *q)
 {
     const GPtrArray *all = list_candidates(s, q);
-    g_autoptr(GPtrArray) near = g_ptr_array_new();
-    g_autoptr(GPtrArray) far = g_ptr_array_new();
+    g_autoptr(GPtrArray) local = g_ptr_array_new();
+    g_autoptr(GPtrArray) remote = g_ptr_array_new();
     g_autoptr(GPtrArray) returning = g_ptr_array_new();
     for (guint i = 0; all && i < all->len; i++) {
         Up *u = all->pdata[i];
@@ -496,11 +496,11 @@
         bool here = strcmp(u->data_centre, s->params.data_centre) == 0;
         bool now = u->share >= SHARE_FULL ||
                    bg_pick_random(&s->rng, SHARE_FULL) < u->share;
-        g_ptr_array_add(!now ? returning : here ? near : far, u);
+        g_ptr_array_add(!now ? returning : here ? local : remote, u);
     }
-    Up *u = pick(s, near, now_ms, q->affinity);
+    Up *u = pick(s, local, now_ms, q->affinity);
     if (!u) {
-        u = pick(s, far, now_ms, q->affinity);
+        u = pick(s, remote, now_ms, q->affinity);
     }
     return u ? u : pick(s, returning, now_ms, q->affinity);
 }
