--- a/src/desk.c
+++ b/src/desk.c
@@ -420,11 +420,11 @@
 record_result(Desk *d, RtCore *core, uint64_t now_ms, const DeskEvent *e)
 {
     uint64_t wall_ms = bg_wall_ms();
-    if (e->end.done == RT_OUTCOME_OK) {
+    if (e->attempt.outcome == RT_OUTCOME_OK) {
         once_on_answered(d->once, now_ms, wall_ms, e->id, &e->result);
     }
-    else if (e->end.done == RT_OUTCOME_NOT_SENT ||
-             e->end.done == RT_OUTCOME_REJECTED) {
+    else if (e->attempt.outcome == RT_OUTCOME_NOT_SENT ||
+             e->attempt.outcome == RT_OUTCOME_REJECTED) {
         once_on_unsent(d->once, e->id);
     }
     else {
@@ -434,14 +434,14 @@
     if (!w || !e->upstream) {
         return;
     }
-    w->suspect = w->suspect || e->end.died;
+    w->suspect = w->suspect || e->attempt.died;
     /* The VM of a leaving upstream is removed on purpose: the request is not
        the cause. */
     if (e->connection_broke && !rt_is_leaving(core, e->upstream)) {
         qr_on_broken(d->quarantine, now_ms, wall_ms, w->digest, e->upstream,
-                     e->end.died);
+                     e->attempt.died);
     }
-    if (e->end.done == RT_OUTCOME_OK && w->suspect) {
+    if (e->attempt.outcome == RT_OUTCOME_OK && w->suspect) {
         qr_on_alone(d->quarantine, wall_ms, w->digest, e->upstream);
     }
 }
@@ -483,11 +483,12 @@
 end_attempt(Desk *d, RtCore *core, uint64_t now_ms, const DeskEvent *e)
 {
     record_result(d, core, now_ms, e);
-    if (e->end.done == RT_OUTCOME_OK || e->end.done == RT_OUTCOME_CANCELLED) {
+    if (e->attempt.outcome == RT_OUTCOME_OK ||
+        e->attempt.outcome == RT_OUTCOME_CANCELLED) {
         g_hash_table_remove(d->tickets, &e->id);
         release_limits(d, e->id, e->used);
     }
-    rt_on_done(core, now_ms, e->id, &e->end);
+    rt_on_done(core, now_ms, e->id, &e->attempt);
 }
 
 void
--- a/src/desk.h
+++ b/src/desk.h
@@ -63,7 +63,7 @@
     Ticket *ticket;    /* ARRIVE; lives on the request thread's stack */
     RtRequest request; /* ARRIVE; strings belong to the request thread, which
                           waits for the decision and so outlives them */
-    RtResult end;      /* DONE */
+    RtResult attempt;  /* DONE */
     uint32_t used;     /* DONE: tokens generated */
 
     uint8_t digest[32]; /* ARRIVE: of the whole request */
--- a/src/req.c
+++ b/src/req.c
@@ -13,12 +13,12 @@
 #define MAX_BODY (1024 * 1024)
 #define MAX_DISCARD (16u * 1024 * 1024)
 #define AFFINITY_BYTES 512
-#define CALLER_POLL_MS 100 /* between checks whether the caller disconnected  \
-                            */
+/* Interval of checks for a disconnected caller. */
+#define CALLER_POLL_MS 100
 #define DEFAULT_MAX_TOKENS 256
 #define BUSY_RETRY_MS 1000
 #define ANSWER_TIMEOUT_RUNS 3  /* answer timeout, in long runs of the model */
-#define STATUS_CALLER_GONE 499 /* for the access log; not sent */
+#define STATUS_CALLER_GONE 499 /* only logged, the caller is gone */
 #define DEATH_PROBE_MS 500
 /* A dying process gets 500 ms to close its last socket. */
 #define DEATH_PROBES 6
@@ -479,7 +479,7 @@
 
 typedef struct {
     HcResult res;
-    RtResult end;
+    RtResult result;
     const char *upstream;
     bool connection_broke; /* the connection broke (no timeout) after bytes of
                          the request were sent */
@@ -674,14 +674,14 @@
 static void
 set_result(Req *q, const Ticket *t, Attempt *a)
 {
-    a->end.done = classify(q, &a->res);
-    a->end.leaving = g_strcmp0(a->res.upstream_state, "leaving") == 0;
-    a->end.late = a->res.end == HC_TIMEOUT && get_remaining_ms(q) <= 1;
-    a->end.silent_connection = is_connection_at_fault(&a->res);
-    if (a->res.end == HC_TIMEOUT && !a->end.late) {
+    a->result.outcome = classify(q, &a->res);
+    a->result.leaving = g_strcmp0(a->res.upstream_state, "leaving") == 0;
+    a->result.late = a->res.end == HC_TIMEOUT && get_remaining_ms(q) <= 1;
+    a->result.silent_connection = is_connection_at_fault(&a->res);
+    if (a->res.end == HC_TIMEOUT && !a->result.late) {
         desk_mark_silent(q->desk, t->address);
     }
-    if (a->end.done == RT_OUTCOME_BROKEN) {
+    if (a->result.outcome == RT_OUTCOME_BROKEN) {
         bg_count("router_broken_attempts_total", 1);
         bg_log(BG_WARN, "req", "Request %s failed at %s: %s, status %ld%s.",
                q->caller_id, t->upstream, hc_end_name(a->res.end),
@@ -694,7 +694,7 @@
 {
     a->upstream = t->upstream;
     if (is_past_deadline(q)) {
-        a->end.done = RT_OUTCOME_REJECTED;
+        a->result.outcome = RT_OUTCOME_REJECTED;
         return;
     }
     const CallLimits *l = desk_get_limits(q->desk);
@@ -739,9 +739,9 @@
     hc_call(c, &req, &a->res);
     free(resuming);
     set_result(q, t, a);
-    if (a->res.end == HC_BROKEN && a->end.done == RT_OUTCOME_BROKEN) {
+    if (a->res.end == HC_BROKEN && a->result.outcome == RT_OUTCOME_BROKEN) {
         a->connection_broke = true;
-        a->end.died = has_process_died(q->desk, c, t->address);
+        a->result.died = has_process_died(q->desk, c, t->address);
     }
     desk_return_client(q->desk, c);
 }
@@ -750,7 +750,7 @@
 static void
 fill_result(const Req *q, const Attempt *a, DeskEvent *e)
 {
-    if (!q->key || a->end.done != RT_OUTCOME_OK) {
+    if (!q->key || a->result.outcome != RT_OUTCOME_OK) {
         return;
     }
     const GString *body = a->res.body;
@@ -770,7 +770,7 @@
     DeskEvent *e = g_new0(DeskEvent, 1);
     e->kind = DESK_DONE;
     e->id = q->id;
-    e->end = a->end;
+    e->attempt = a->result;
     e->used = q->tokens_sent;
     e->connection_broke = a->connection_broke;
     e->upstream = g_strdup(a->upstream);
@@ -901,10 +901,10 @@
     /* The result is queued for the log before the caller gets it. */
     post_done(q, &a);
     bool over = true;
-    if (a.end.done == RT_OUTCOME_OK) {
+    if (a.result.outcome == RT_OUTCOME_OK) {
         *status = send_answer(q, &a.res);
     }
-    else if (a.end.done == RT_OUTCOME_CANCELLED) {
+    else if (a.result.outcome == RT_OUTCOME_CANCELLED) {
         bg_count("router_cancelled_total", 1);
         *status = STATUS_CALLER_GONE;
     }
--- a/src/rt.c
+++ b/src/rt.c
@@ -579,50 +579,50 @@
 }
 
 static UpOutcome
-get_upstream_outcome(const RtResult *end)
+get_upstream_outcome(const RtResult *result)
 {
-    bool failed =
-        end->done == RT_OUTCOME_NOT_SENT || end->done == RT_OUTCOME_BROKEN;
-    if (end->done == RT_OUTCOME_OK) {
+    bool failed = result->outcome == RT_OUTCOME_NOT_SENT ||
+                  result->outcome == RT_OUTCOME_BROKEN;
+    if (result->outcome == RT_OUTCOME_OK) {
         return UP_OUTCOME_GOOD;
     }
     /* A pooled connection may be dead while the upstream is healthy: only a
        failure on a new connection counts. */
-    return failed && !end->silent_connection && !end->late
+    return failed && !result->silent_connection && !result->late
                ? UP_OUTCOME_FAILED
                : UP_OUTCOME_NEUTRAL;
 }
 
 static void
-end_attempt(RtCore *c, Request *q, uint64_t now_ms, const RtResult *end)
+end_attempt(RtCore *c, Request *q, uint64_t now_ms, const RtResult *result)
 {
     Up *u = q->at;
     Target *t = q->target;
     q->at = NULL;
     t->inflight--;
     g_ptr_array_add(q->tried, g_strdup(up_get_id(u)));
-    q->sends += end->done != RT_OUTCOME_NOT_SENT;
-    if (end->leaving) {
+    q->sends += result->outcome != RT_OUTCOME_NOT_SENT;
+    if (result->leaving) {
         c->out.announce_leaving(c->out.ctx, up_get_id(u), up_get_address(u));
         up_mark_leaving(c->ups, u, now_ms);
     }
-    else if (end->done == RT_OUTCOME_REJECTED && q->r.model) {
+    else if (result->outcome == RT_OUTCOME_REJECTED && q->r.model) {
         up_forget_model(c->ups, u, q->r.model);
     }
-    up_finish(c->ups, u, now_ms, get_upstream_outcome(end));
+    up_finish(c->ups, u, now_ms, get_upstream_outcome(result));
 }
 
 void
-rt_on_done(RtCore *c, uint64_t now_ms, uint64_t id, const RtResult *end)
+rt_on_done(RtCore *c, uint64_t now_ms, uint64_t id, const RtResult *result)
 {
     Request *q = g_hash_table_lookup(c->requests, &id);
     if (!q || !q->at) {
         return;
     }
     Target *t = q->target;
-    end_attempt(c, q, now_ms, end);
+    end_attempt(c, q, now_ms, result);
     t->last_used_ms = now_ms;
-    switch (end->done) {
+    switch (result->outcome) {
     case RT_OUTCOME_OK:
         note_run(t, q->node.cost, now_ms - q->sent_ms);
         drop_request(c, q);
@@ -636,14 +636,14 @@
         break;
     case RT_OUTCOME_BROKEN:
         q->may_have_run = true;
-        if (end->late) {
+        if (result->late) {
             note_run(t, q->node.cost, now_ms - q->sent_ms); /* a lower bound */
         }
         /* Requests that ran beside the one that killed the upstream failed
            with it and look like the cause.  So each of them is retried on an
            upstream of its own, and not again after a second death. */
-        q->deaths += end->died;
-        q->r.suspect = q->r.suspect || end->died;
+        q->deaths += result->died;
+        q->r.suspect = q->r.suspect || result->died;
         if (q->r.once || q->deaths >= MAX_DEATHS) {
             finish(c, q);
         }
--- a/src/rt.h
+++ b/src/rt.h
@@ -63,7 +63,7 @@
 
 /* The result of one attempt. */
 typedef struct {
-    RtOutcome done;
+    RtOutcome outcome;
     bool leaving;           /* the upstream reported that it is leaving */
     bool silent_connection; /* the connection may be dead, not the upstream */
     bool late;              /* stopped at the request's own deadline */
@@ -92,7 +92,8 @@
 void rt_destroy(RtCore *c);
 
 void rt_on_arrive(RtCore *c, uint64_t now_ms, const RtRequest *r);
-void rt_on_done(RtCore *c, uint64_t now_ms, uint64_t id, const RtResult *end);
+void rt_on_done(RtCore *c, uint64_t now_ms, uint64_t id,
+                const RtResult *result);
 /* The caller disconnected.  True: the request was queued and is dropped
    without further output.  False: an upstream has it, and rt_on_done
    follows. */
@@ -103,6 +104,8 @@
 /* Another router announced that an upstream is leaving. */
 void rt_on_leaving(RtCore *c, uint64_t now_ms, const char *upstream,
                    const char *address);
+/* The placer refused to load MODEL: its queued requests are refused, unless it
+   is loaded by now. */
 void rt_on_demand_refused(RtCore *c, uint64_t now_ms, const char *model,
                           uint64_t retry_after_ms);
 /* Upstreams died while running a request equal to ID.  If ID is queued, it
--- a/src/up.c
+++ b/src/up.c
@@ -368,7 +368,7 @@
 }
 
 void
-up_finish(UpSet *s, Up *u, uint64_t now_ms, UpOutcome end)
+up_finish(UpSet *s, Up *u, uint64_t now_ms, UpOutcome outcome)
 {
     u->inflight--;
     u->exclusive = false;
@@ -378,10 +378,10 @@
         }
         return;
     }
-    if (end == UP_OUTCOME_GOOD) {
+    if (outcome == UP_OUTCOME_GOOD) {
         u->failures = 0;
     }
-    else if (end == UP_OUTCOME_FAILED) {
+    else if (outcome == UP_OUTCOME_FAILED) {
         note_failure(s, u, now_ms);
     }
 }
--- a/src/up.h
+++ b/src/up.h
@@ -68,10 +68,10 @@
    ones included; 0: the model is cold. */
 uint32_t up_count_slots(const UpSet *s, const UpQuery *q);
 
-/* A call starts; U stays valid until up_finish.  ALONE: no other call is
-   started on U meanwhile. */
+/* A call starts; U stays valid until up_finish.  EXCLUSIVE: no other call
+   is started on U meanwhile. */
 void up_start(Up *u, bool exclusive);
-void up_finish(UpSet *s, Up *u, uint64_t now_ms, UpOutcome end);
+void up_finish(UpSet *s, Up *u, uint64_t now_ms, UpOutcome outcome);
 /* U reported that it is leaving: it gets no new calls, even if a residency
    message still lists it. */
 void up_mark_leaving(UpSet *s, Up *u, uint64_t now_ms);
--- a/tests/script_rt.c
+++ b/tests/script_rt.c
@@ -184,14 +184,14 @@
 static void
 run_done(Script *s, char **w)
 {
-    static const char *const ends[] = {"ok", "not_sent", "turned_away",
-                                       "broken", "cancelled"};
-    RtResult end = {.done = (RtOutcome)find_word(ends, 5, w[2]),
-                    .leaving = strcmp(w[3], "leaving") == 0,
-                    .silent_connection = strcmp(w[3], "silent") == 0,
-                    .died = strcmp(w[3], "died") == 0,
-                    .late = strcmp(w[3], "late") == 0};
-    rt_on_done(s->core, s->now_ms, get_number(w[1]), &end);
+    static const char *const outcomes[] = {"ok", "not_sent", "turned_away",
+                                           "broken", "cancelled"};
+    RtResult result = {.outcome = (RtOutcome)find_word(outcomes, 5, w[2]),
+                       .leaving = strcmp(w[3], "leaving") == 0,
+                       .silent_connection = strcmp(w[3], "silent") == 0,
+                       .died = strcmp(w[3], "died") == 0,
+                       .late = strcmp(w[3], "late") == 0};
+    rt_on_done(s->core, s->now_ms, get_number(w[1]), &result);
 }
 
 static void
