--- a/src/desk.h
+++ b/src/desk.h
@@ -62,7 +62,7 @@
     uint64_t id;
     Ticket *ticket;    /* ARRIVE; lives on the request thread's stack */
     RtRequest request; /* ARRIVE; strings belong to the request thread, which
-                          waits for the decision and so outlives them */
+                          waits for the decision and outlives the event */
     RtResult attempt;  /* DONE */
     uint32_t used;     /* DONE: tokens generated */
 
