--- a/src/fold.c
+++ b/src/fold.c
@@ -6,21 +6,22 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A lost acknowledgement is retried within minutes; at several hundred
-   appends a second this many ids cover about half a minute of the whole
-   system's batches, and the appender's retries back off to one a second. */
+/* Ids against which retried batches are deduplicated.  An append without
+   acknowledgement is retried within minutes, with a back-off of up to one
+   second.  At several hundred appends a second these ids cover about half a
+   minute of the whole system's batches. */
 #define KEPT_BATCH_IDS 16384
 #define KEPT_VERSIONS 20
-/* Of one template's older versions, so that a checkpoint stays small. */
+/* Per template, without the current version; bounds the checkpoint's size. */
 #define KEPT_VERSION_BYTES (4u * 1024 * 1024)
 #define MAX_PENDING_CHECKPOINTS 4
 #define MAX_CHUNKS 65536
 #define MAX_DEATHS 4096
-/* A deadly request is tried again after a day: the fault it met may have
-   been mended. */
-#define DEATH_LIFE_MS (24ull * 3600 * 1000)
+/* A quarantined request is tried again after a day: the bug that it triggered
+   may have been fixed. */
+#define DEATH_RETENTION_MS (24ull * 3600 * 1000)
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- construction ------------------------------------------------------- */
 
 static void
 free_config(gpointer p)
@@ -161,8 +162,6 @@
     return h && h->len ? h->pdata[h->len - 1] : NULL;
 }
 
-/* Compile all current templates, with CANDIDATE (or NULL) in the place of
-   its name. */
 CfgSet *
 fold_compile(const Fold *f, const CfgSource *candidate, GString *faults)
 {
@@ -203,7 +202,7 @@
 
 /* Bytes of all versions but the current one. */
 static size_t
-count_older(const GPtrArray *h)
+count_older_bytes(const GPtrArray *h)
 {
     size_t bytes = 0;
     for (guint i = 0; i + 1 < h->len; i++) {
@@ -217,7 +216,7 @@
 }
 
 void
-fold_keep_version(Fold *f, const char *name, FoldConfig *c)
+fold_add_version(Fold *f, const char *name, FoldConfig *c)
 {
     GPtrArray *h = g_hash_table_lookup(f->history, name);
     if (!h) {
@@ -225,8 +224,8 @@
         g_hash_table_insert(f->history, g_strdup(name), h);
     }
     g_ptr_array_add(h, c);
-    while (h->len > 1 &&
-           (h->len > KEPT_VERSIONS || count_older(h) > KEPT_VERSION_BYTES)) {
+    while (h->len > 1 && (h->len > KEPT_VERSIONS ||
+                          count_older_bytes(h) > KEPT_VERSION_BYTES)) {
         g_ptr_array_remove_index(h, 0);
     }
 }
@@ -240,18 +239,18 @@
         g_string_printf(why, "version %llu is current, not %llu",
                         (unsigned long long)version,
                         (unsigned long long)r->base_version);
-        return FOLD_LOST;
+        return FOLD_CONFLICT;
     }
     CfgSource s = {r->name, offset, r->template_text, r->values_text,
                    r->n_values_text};
     CfgSet *next = fold_compile(f, &s, why);
     if (!next) {
-        return FOLD_BAD;
+        return FOLD_INVALID;
     }
     cfg_unref(f->config);
     f->config = next;
-    fold_keep_version(f, r->name, fold_make_config(r, offset));
-    return FOLD_WON;
+    fold_add_version(f, r->name, fold_make_config(r, offset));
+    return FOLD_APPLIED;
 }
 
 CfgSet *
@@ -295,7 +294,7 @@
 /* ---- placement ---------------------------------------------------------- */
 
 Centre *
-fold_make_centre(Fold *f, const char *name)
+fold_ensure_centre(Fold *f, const char *name)
 {
     Centre *c = g_hash_table_lookup(f->centres, name);
     if (!c) {
@@ -346,10 +345,10 @@
 }
 
 static FoldResult
-lose(GString *why, const char *text)
+set_conflict(GString *why, const char *text)
 {
     g_string_assign(why, text);
-    return FOLD_LOST;
+    return FOLD_CONFLICT;
 }
 
 static FoldGrant *
@@ -381,10 +380,11 @@
     return true;
 }
 
-/* Grants stay until an owner clears them: whoever held one may have used it
-   without a record.  Past FOLD_MAX_GRANTS different lists a claim has none. */
+/* A grant stays until an owner clears it: an earlier owner may have used it
+   without a record.  With FOLD_MAX_GRANTS different lists outstanding, a
+   claim with another list gets no grant. */
 static void
-keep_grant(Centre *c, const Bg__ClaimRecord *r, uint64_t epoch)
+add_grant(Centre *c, const Bg__ClaimRecord *r, uint64_t epoch)
 {
     FoldGrant *g = make_grant(r, epoch);
     for (guint i = 0; i < c->grants->len; i++) {
@@ -406,23 +406,23 @@
 static FoldResult
 apply_claim(Fold *f, uint64_t offset, const Bg__ClaimRecord *r, GString *why)
 {
-    Centre *c = fold_make_centre(f, r->data_centre);
+    Centre *c = fold_ensure_centre(f, r->data_centre);
     if (r->base_epoch != c->claim.epoch) {
-        return lose(why, "another claim came first");
+        return set_conflict(why, "another claim came first");
     }
     g_free(c->claim.holder);
     c->claim.holder = g_strdup(r->holder);
     c->claim.epoch = offset;
-    keep_grant(c, r, offset);
-    return FOLD_WON;
+    add_grant(c, r, offset);
+    return FOLD_APPLIED;
 }
 
 static FoldResult
 apply_clear(Fold *f, const Bg__ClearRecord *r, GString *why)
 {
-    Centre *c = fold_make_centre(f, r->data_centre);
+    Centre *c = fold_ensure_centre(f, r->data_centre);
     if (r->epoch != c->claim.epoch) {
-        return lose(why, "the epoch is not current");
+        return set_conflict(why, "the epoch is not current");
     }
     for (guint i = c->grants->len; i > 0; i--) {
         FoldGrant *g = c->grants->pdata[i - 1];
@@ -433,13 +433,13 @@
             g->first_epoch = r->epoch;
         }
     }
-    return FOLD_WON;
+    return FOLD_APPLIED;
 }
 
 /* ---- orders that may still arrive --------------------------------------- */
 
 static void
-open_intent(FoldIntent *in, uint64_t epoch)
+add_open_epoch(FoldIntent *in, uint64_t epoch)
 {
     for (guint i = 0; i < in->open->len; i++) {
         if (g_array_index(in->open, uint64_t, i) == epoch) {
@@ -450,7 +450,7 @@
 }
 
 static void
-close_intent(FoldIntent *in, uint64_t epoch)
+remove_open_epoch(FoldIntent *in, uint64_t epoch)
 {
     for (guint i = 0; i < in->open->len; i++) {
         if (g_array_index(in->open, uint64_t, i) == epoch) {
@@ -461,7 +461,7 @@
 }
 
 bool
-fold_is_open(const FoldIntent *in, uint64_t except)
+fold_has_pending_order(const FoldIntent *in, uint64_t except)
 {
     for (guint i = 0; i < in->open->len; i++) {
         if (g_array_index(in->open, uint64_t, i) != except) {
@@ -471,34 +471,34 @@
     return false;
 }
 
-/* The two ceilings are checked here, at the record's offset, so that no
-   owner, paused or late, can record a load that does not fit: an order
-   without a record in effect is never given. */
+/* The limits on memory and replicas are checked here, at the record's offset,
+   so that no owner, even a paused or late one, can record a load that does
+   not fit.  An order is sent only after its record took effect. */
 static FoldResult
 check_intent(const Centre *c, const Bg__IntentRecord *r, GString *why)
 {
     if (r->epoch != c->claim.epoch) {
-        return lose(why, "the epoch is not current");
+        return set_conflict(why, "the epoch is not current");
     }
     if (g_hash_table_contains(c->quiesced, &r->epoch)) {
-        return lose(why, "the epoch was handed over");
+        return set_conflict(why, "the epoch was handed over");
     }
     g_autofree char *pair = fold_join_pair(r->upstream, r->model);
     if (g_hash_table_contains(c->intents, pair)) {
-        return lose(why, "already counted there");
+        return set_conflict(why, "already counted there");
     }
     uint64_t memory = (uint64_t)get_number(c->memory, r->upstream);
     if (memory + r->memory_mb > r->capacity_mb) {
-        return lose(why, "does not fit the memory");
+        return set_conflict(why, "does not fit the memory");
     }
     if (get_number(c->replicas, r->model) >= r->ceiling) {
-        return lose(why, "replica ceiling is reached");
+        return set_conflict(why, "replica ceiling is reached");
     }
-    return FOLD_WON;
+    return FOLD_APPLIED;
 }
 
-/* The load that R names, counted already: the current owner may order it
-   again, and then its orders too may still arrive. */
+/* The load that R names, if it was recorded before and the current owner may
+   order it again.  That owner's orders may then still arrive too. */
 static FoldIntent *
 find_same_load(const Centre *c, const Bg__IntentRecord *r)
 {
@@ -515,19 +515,19 @@
 static FoldResult
 apply_intent(Fold *f, const Bg__IntentRecord *r, GString *why)
 {
-    Centre *c = fold_make_centre(f, r->data_centre);
+    Centre *c = fold_ensure_centre(f, r->data_centre);
     FoldIntent *in = find_same_load(c, r);
     if (in) {
-        open_intent(in, r->epoch);
-        return FOLD_WON;
+        add_open_epoch(in, r->epoch);
+        return FOLD_APPLIED;
     }
     FoldResult result = check_intent(c, r, why);
-    if (result != FOLD_WON) {
+    if (result != FOLD_APPLIED) {
         return result;
     }
     in = g_new0(FoldIntent, 1);
     in->open = g_array_new(FALSE, FALSE, sizeof(uint64_t));
-    open_intent(in, r->epoch);
+    add_open_epoch(in, r->epoch);
     in->upstream = g_strdup(r->upstream);
     in->model = g_strdup(r->model);
     in->load_id = g_strdup(r->load_id);
@@ -537,41 +537,42 @@
     in->fenced = r->fenced;
     in->adapter = r->adapter;
     fold_add_intent(c, in);
-    return FOLD_WON;
+    return FOLD_APPLIED;
 }
 
 static FoldResult
 apply_settle(Fold *f, const Bg__SettleRecord *r, GString *why)
 {
-    Centre *c = fold_make_centre(f, r->data_centre);
+    Centre *c = fold_ensure_centre(f, r->data_centre);
     if (r->epoch != c->claim.epoch) {
-        return lose(why, "the epoch is not current");
+        return set_conflict(why, "the epoch is not current");
     }
     g_autofree char *pair = fold_join_pair(r->upstream, r->model);
     FoldIntent *in = g_hash_table_lookup(c->intents, pair);
     if (!in || strcmp(in->load_id, r->load_id) != 0) {
-        return lose(why, "no such load");
+        return set_conflict(why, "no such load");
     }
     if (r->loaded) {
         in->loaded = true;
         if (r->closed) {
-            close_intent(in, r->epoch);
+            remove_open_epoch(in, r->epoch);
         }
-        return FOLD_WON;
+        return FOLD_APPLIED;
     }
-    /* An upstream without fencing takes a former owner's late order: the
-       load goes on counting until that order cannot arrive any more. */
-    if (!in->fenced && !r->life_ended && fold_is_open(in, r->epoch)) {
-        return lose(why, "an order may still arrive");
+    /* An upstream without fencing accepts a late order of a former owner, so
+       the load counts until that order can no longer arrive. */
+    if (!in->fenced && !r->life_ended &&
+        fold_has_pending_order(in, r->epoch)) {
+        return set_conflict(why, "an order may still arrive");
     }
     add_number(c->memory, in->upstream, -(int64_t)in->memory_mb);
     add_number(c->replicas, in->model, -1);
     g_hash_table_remove(c->intents, pair);
-    return FOLD_WON;
+    return FOLD_APPLIED;
 }
 
 static bool
-is_listed_open(const Bg__QuiesceRecord *r, const FoldIntent *in)
+is_excepted(const Bg__QuiesceRecord *r, const FoldIntent *in)
 {
     for (size_t i = 0; i < r->n_open; i++) {
         if (strcmp(r->open[i]->upstream, in->upstream) == 0 &&
@@ -585,7 +586,7 @@
 static FoldResult
 apply_quiesce(Fold *f, const Bg__QuiesceRecord *r)
 {
-    Centre *c = fold_make_centre(f, r->data_centre);
+    Centre *c = fold_ensure_centre(f, r->data_centre);
     uint64_t *epoch = g_new(uint64_t, 1);
     *epoch = r->epoch;
     g_hash_table_add(c->quiesced, epoch);
@@ -594,11 +595,11 @@
     g_hash_table_iter_init(&it, c->intents);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         FoldIntent *in = p;
-        if (!is_listed_open(r, in)) {
-            close_intent(in, r->epoch);
+        if (!is_excepted(r, in)) {
+            remove_open_epoch(in, r->epoch);
         }
     }
-    return FOLD_WON;
+    return FOLD_APPLIED;
 }
 
 static const Centre *
@@ -672,7 +673,7 @@
 static FoldResult
 apply_key(Fold *f, const Bg__KeyRecord *r, GString *why)
 {
-    return keys_apply(f->keys, r, why) ? FOLD_WON : FOLD_LOST;
+    return keys_apply(f->keys, r, why) ? FOLD_APPLIED : FOLD_CONFLICT;
 }
 
 const KeyEntry *
@@ -706,12 +707,12 @@
 }
 
 static void
-remove_old_deaths(Fold *f)
+expire_deaths(Fold *f)
 {
     uint64_t now_ms = keys_get_time(f->keys);
     while (f->death_order.head) {
         Deaths *d = g_hash_table_lookup(f->deaths, f->death_order.head->data);
-        bool old = now_ms > d->born_ms + DEATH_LIFE_MS;
+        bool old = now_ms > d->born_ms + DEATH_RETENTION_MS;
         if (!old && g_hash_table_size(f->deaths) < MAX_DEATHS) {
             return;
         }
@@ -720,7 +721,7 @@
 }
 
 Deaths *
-fold_make_deaths(Fold *f, const uint8_t *digest, uint64_t born_ms)
+fold_ensure_deaths(Fold *f, const uint8_t *digest, uint64_t born_ms)
 {
     char *hex = format_digest(digest);
     Deaths *d = g_hash_table_lookup(f->deaths, hex);
@@ -728,7 +729,7 @@
         g_free(hex);
         return d;
     }
-    remove_old_deaths(f);
+    expire_deaths(f);
     d = g_new0(Deaths, 1);
     memcpy(d->digest, digest, 32);
     d->upstreams = g_ptr_array_new_with_free_func(g_free);
@@ -746,21 +747,21 @@
     return g_hash_table_lookup(f->deaths, hex);
 }
 
-/* Innocents that were in flight beside a deadly request carry a death that
-   was not theirs; one that ran alone and was answered is rid of it, else
-   two unrelated deaths would quarantine it. */
+/* A death is also counted for harmless requests in flight on the same
+   upstream.  It is cleared once such a request ran alone and was answered,
+   else two unrelated deaths would quarantine it. */
 static FoldResult
 clear_deaths(Fold *f, const Bg__DeathRecord *r, GString *why)
 {
     Deaths *d = (Deaths *)find_deaths(f, r->request_digest.data);
     if (!d) {
-        return lose(why, "nothing to clear");
+        return set_conflict(why, "nothing to clear");
     }
     if (d->upstreams->len >= FOLD_DEATHS_TO_QUARANTINE) {
-        return lose(why, "it is quarantined");
+        return set_conflict(why, "it is quarantined");
     }
     remove_deaths(f, d);
-    return FOLD_WON;
+    return FOLD_APPLIED;
 }
 
 static FoldResult
@@ -768,27 +769,27 @@
 {
     if (r->request_digest.len != 32) {
         g_string_assign(why, "bad digest");
-        return FOLD_BAD;
+        return FOLD_INVALID;
     }
     keys_note_time(f->keys, r->author, r->wall_ms);
     if (r->cleared) {
         return clear_deaths(f, r, why);
     }
-    Deaths *d = fold_make_deaths(f, r->request_digest.data,
-                                 keys_get_birth(f->keys, r->wall_ms));
+    Deaths *d = fold_ensure_deaths(f, r->request_digest.data,
+                                   keys_get_birth(f->keys, r->wall_ms));
     if (g_ptr_array_find_with_equal_func(d->upstreams, r->upstream,
                                          g_str_equal, NULL)) {
-        return lose(why, "already counted");
+        return set_conflict(why, "already counted");
     }
     g_ptr_array_add(d->upstreams, g_strdup(r->upstream));
-    return FOLD_WON;
+    return FOLD_APPLIED;
 }
 
 uint32_t
 fold_count_deaths(const Fold *f, const uint8_t digest[32])
 {
     const Deaths *d = find_deaths(f, digest);
-    if (!d || keys_get_time(f->keys) > d->born_ms + DEATH_LIFE_MS) {
+    if (!d || keys_get_time(f->keys) > d->born_ms + DEATH_RETENTION_MS) {
         return 0;
     }
     return d->upstreams->len;
@@ -826,8 +827,8 @@
     return c;
 }
 
-/* Every process follows which checkpoints the log holds, so that all know
-   when the next is due and none is written twice for nothing. */
+/* Every process tracks which checkpoints the log holds, so that all know when
+   the next one is due and none is written twice. */
 static FoldResult
 apply_checkpoint(Fold *f, uint64_t offset, const Bg__CheckpointRecord *r,
                  GString *why)
@@ -835,29 +836,29 @@
     if (r->chunks == 0 || r->chunks > MAX_CHUNKS || r->chunk >= r->chunks ||
         r->covered_offset >= offset) {
         g_string_assign(why, "bad checkpoint");
-        return FOLD_BAD;
+        return FOLD_INVALID;
     }
     FoldCheckpoint *c = find_pending(f, offset, r);
     if (c->chunks != r->chunks || c->covered != r->covered_offset) {
         g_string_assign(why, "differs from its other parts");
-        return FOLD_BAD;
+        return FOLD_INVALID;
     }
     c->last_offset = offset;
     c->seen[r->chunk] = 1;
     if (memchr(c->seen, 0, c->chunks)) {
-        return FOLD_WON;
+        return FOLD_APPLIED;
     }
     g_ptr_array_set_free_func(f->pending, NULL);
     g_ptr_array_remove(f->pending, c);
     g_ptr_array_set_free_func(f->pending, free_checkpoint);
     if (f->checkpoint && c->covered <= f->checkpoint->covered) {
         fold_free_checkpoint(c);
-        return lose(why, "a newer checkpoint is whole");
+        return set_conflict(why, "a newer checkpoint is whole");
     }
     fold_free_checkpoint(f->checkpoint);
     f->checkpoint = c;
     f->entries_since = 0;
-    return FOLD_WON;
+    return FOLD_APPLIED;
 }
 
 const FoldCheckpoint *
@@ -904,12 +905,12 @@
         return apply_checkpoint(f, offset, r->checkpoint, why);
     default:
         g_string_assign(why, "unknown kind");
-        return FOLD_BAD;
+        return FOLD_INVALID;
     }
 }
 
 void
-fold_note_batch(Fold *f, const char *id, uint64_t digest)
+fold_add_batch_id(Fold *f, const char *id, uint64_t digest)
 {
     char *copy = g_strdup(id);
     uint64_t *value = g_new(uint64_t, 1);
@@ -921,13 +922,13 @@
     }
 }
 
-/* Whether a batch of this id was applied before. */
+/* Whether a batch with this id was applied before. */
 static bool
-is_repeated(const Fold *f, const char *id, uint64_t digest)
+is_duplicate(const Fold *f, const char *id, uint64_t digest)
 {
     const uint64_t *seen = g_hash_table_lookup(f->batches, id);
     if (seen && *seen != digest) {
-        bg_log(BG_FAULT, "fold", "Batch %s came twice with different bytes.",
+        bg_log(BG_FAULT, "fold", "Batch id %s was reused with other bytes.",
                id);
     }
     return seen != NULL;
@@ -962,13 +963,13 @@
     if (offset <= f->offset) {
         return true;
     }
-    /* A batch is decoded in full before any of it takes effect. */
+    /* A batch is decoded completely before any of it takes effect. */
     RecBatch batch = {0};
     g_autoptr(GError) bad = NULL;
     bool good = rec_decode_batch(data, len, &batch, &bad);
     if (!good && bad->code == BG_ERR_NEWER) {
-        /* Going on would leave out what newer processes apply: two states
-           under one offset, and nobody would see it. */
+        /* Skipping an entry that newer processes apply would silently give
+           two different states at one offset. */
         g_propagate_error(err, g_steal_pointer(&bad));
         return false;
     }
@@ -980,8 +981,8 @@
         return false;
     }
     uint64_t digest = XXH64(data, len, 0);
-    if (!is_repeated(f, batch.batch_id, digest)) {
-        fold_note_batch(f, batch.batch_id, digest);
+    if (!is_duplicate(f, batch.batch_id, digest)) {
+        fold_add_batch_id(f, batch.batch_id, digest);
         if (is_checkpoint(&batch)) {
             f->entries_since--;
         }
--- a/src/node.c
+++ b/src/node.c
@@ -336,7 +336,7 @@
 {
     Node *n = ctx;
     (void)batch_id;
-    if (result == FOLD_BAD) {
+    if (result == FOLD_INVALID) {
         bg_log(BG_WARN, "fold", "Record at %llu is refused: %s.",
                (unsigned long long)offset, why);
     }
--- a/src/snap.c
+++ b/src/snap.c
@@ -94,9 +94,9 @@
             if (!t->versions[v]->config) {
                 continue;
             }
-            fold_keep_version(f, t->name,
-                              fold_make_config(t->versions[v]->config,
-                                               t->versions[v]->version));
+            fold_add_version(f, t->name,
+                             fold_make_config(t->versions[v]->config,
+                                              t->versions[v]->version));
         }
     }
     g_autoptr(GString) faults = g_string_new(NULL);
@@ -262,7 +262,7 @@
 {
     for (size_t i = 0; i < s->n_centres; i++) {
         const Bg__SnapshotCentre *sc = s->centres[i];
-        Centre *c = fold_make_centre(f, sc->name);
+        Centre *c = fold_ensure_centre(f, sc->name);
         c->claim.epoch = sc->epoch;
         c->claim.holder = sc->epoch ? g_strdup(sc->holder) : NULL;
         for (size_t n = 0; n < sc->n_intents; n++) {
@@ -307,7 +307,7 @@
             g_set_error(err, BG_ERROR, BG_ERR_FORMAT, "a death's bad digest");
             return false;
         }
-        Deaths *d = fold_make_deaths(f, r->digest.data, r->born_ms);
+        Deaths *d = fold_ensure_deaths(f, r->digest.data, r->born_ms);
         for (size_t n = 0; n < r->n_upstreams; n++) {
             g_ptr_array_add(d->upstreams, g_strdup(r->upstreams[n]));
         }
@@ -352,7 +352,7 @@
         bg_format_hex(raw, RAW_ID, id);
         uint64_t digest;
         memcpy(&digest, raw + RAW_ID, sizeof(digest));
-        fold_note_batch(f, id, GUINT64_FROM_LE(digest));
+        fold_add_batch_id(f, id, GUINT64_FROM_LE(digest));
     }
 }
 
--- a/tests/script_fold.c
+++ b/tests/script_fold.c
@@ -58,7 +58,7 @@
     (void)batch_id;
     (void)r;
     if (s->quiet) {
-        s->filled += result == FOLD_WON;
+        s->filled += result == FOLD_APPLIED;
         return;
     }
     printf("%llu %s%s%s\n", (unsigned long long)offset, names[result],
