--- a/src/cli_log.c
+++ b/src/cli_log.c
@@ -185,9 +185,9 @@
     }
     s->batch_id = NULL;
     if (s->seen) {
-        return s->result == FOLD_WON    ? CLI_GOOD
-               : s->result == FOLD_LOST ? CLI_CONFLICT
-                                        : CLI_INVALID;
+        return s->result == FOLD_APPLIED    ? CLI_GOOD
+               : s->result == FOLD_CONFLICT ? CLI_CONFLICT
+                                            : CLI_INVALID;
     }
     return maybe ? CLI_UNKNOWN : CLI_FAILED;
 }
--- a/src/main_router.c
+++ b/src/main_router.c
@@ -313,7 +313,7 @@
     }
     else if (rec->body_case == BG__RECORD__BODY_DEATH) {
         qr_on_record(r->quarantine, rec->death);
-        if (result == FOLD_WON) {
+        if (result == FOLD_APPLIED) {
             desk_on_death(r->desk, r->core, rec->death->request_digest.data);
         }
     }
--- a/src/once.c
+++ b/src/once.c
@@ -395,7 +395,7 @@
         }
         return;
     }
-    if (result == FOLD_WON) {
+    if (result == FOLD_APPLIED) {
         take_claim_won(c, a, now_ms, wall_ms);
     }
     else {
--- a/src/pl.c
+++ b/src/pl.c
@@ -244,10 +244,10 @@
     }
     Load *l = pl_find_load(c, r->upstream, r->model);
     bool same = l && strcmp(l->load_id, r->load_id) == 0;
-    if (result == FOLD_WON && same) {
+    if (result == FOLD_APPLIED && same) {
         win_intent(l, now_ms);
     }
-    else if (result == FOLD_WON) {
+    else if (result == FOLD_APPLIED) {
         drop_orphan(c, r);
     }
     else if (same) {
@@ -264,7 +264,7 @@
         strcmp(l->load_id, r->load_id) != 0) {
         return;
     }
-    if (result != FOLD_WON) {
+    if (result != FOLD_APPLIED) {
         if (l->phase == LOAD_SETTLING) {
             pl_set_phase(l, LOAD_LINGERING, now_ms);
         }
--- a/src/pl_order.c
+++ b/src/pl_order.c
@@ -169,7 +169,8 @@
                (l->unknown == 0 || u->fenced_to > l->order_fence);
     }
     const FoldIntent *in = pl_find_intent(c, u->id, l->model);
-    return l->unknown == 0 && (!in || !fold_is_open(in, c->claim_epoch));
+    return l->unknown == 0 &&
+           (!in || !fold_has_pending_order(in, c->claim_epoch));
 }
 
 static void
--- a/tests/script_pl.c
+++ b/tests/script_pl.c
@@ -170,7 +170,7 @@
 {
     Node *n = ctx;
     (void)batch_id;
-    if (result == FOLD_LOST) {
+    if (result == FOLD_CONFLICT) {
         printf("lost %s %llu %s\n", n->name, (unsigned long long)offset, why);
     }
     if (n->core) {
