--- a/src/snap.c
+++ b/src/snap.c
@@ -1,21 +1,23 @@
-/* The fold's whole state as bytes.  One encoder and one decoder for each
-   section of the fold; a field that is added there is added here. */
+/* Encodes the fold's state to bytes and decodes it, with one encoder and one
+   decoder per section of the fold.  A field that is added to the fold must be
+   added here. */
 #include "fold_int.h"
 
 #include <string.h>
 #include <xxhash.h>
 
 #define SNAPSHOT_FORMAT 1
-#define RAW_ID (BG_ID_LEN / 2)
-#define RAW_BATCH (RAW_ID + 8)
+#define RAW_ID_BYTES (BG_ID_LEN / 2)
+#define RAW_BATCH_BYTES (RAW_ID_BYTES + 8)
 
-/* The bytes of a snapshot are built in an arena of pointers into the fold
-   and of small arrays that live until it is packed. */
+/* A snapshot is built as a protobuf message that points into the fold, and to
+   arrays and submessages that live until it is packed. */
 typedef struct {
     const Fold *fold;
-    GPtrArray *owned; /* freed with g_free when all is packed */
+    GPtrArray *owned; /* freed with g_free after packing */
 } Encoder;
 
+/* Has P freed after packing. */
 static gpointer
 own(Encoder *e, gpointer p)
 {
@@ -29,7 +31,7 @@
     return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-/* Keys of TABLE in a fixed order; the caller frees the array only. */
+/* Keys of TABLE, sorted; the caller frees only the array. */
 static GPtrArray *
 sort_keys(GHashTable *table)
 {
@@ -138,7 +140,8 @@
     bg__snapshot_intent__init(s);
     s->intent = r;
     s->loaded = in->loaded;
-    /* Sorted: the order of closing must not show in the bytes. */
+    /* Sorted, so that the bytes don't depend on the order in which epochs
+       were removed. */
     s->n_open = in->open->len;
     s->open = own(e, g_new0(uint64_t, in->open->len + 1));
     memcpy(s->open, in->open->data, in->open->len * sizeof(uint64_t));
@@ -320,38 +323,39 @@
 static void
 pack_batch(const char *id, uint64_t digest, uint8_t *out)
 {
-    for (size_t i = 0; i < RAW_ID; i++) {
+    for (size_t i = 0; i < RAW_ID_BYTES; i++) {
         out[i] = (uint8_t)(g_ascii_xdigit_value(id[2 * i]) << 4 |
                            g_ascii_xdigit_value(id[2 * i + 1]));
     }
     digest = GUINT64_TO_LE(digest);
-    memcpy(out + RAW_ID, &digest, sizeof(digest));
+    memcpy(out + RAW_ID_BYTES, &digest, sizeof(digest));
 }
 
 static void
 encode_batches(Encoder *e, Bg__Snapshot *s)
 {
     guint count = g_queue_get_length((GQueue *)&e->fold->batch_order);
-    s->batches.len = count * RAW_BATCH;
+    s->batches.len = count * RAW_BATCH_BYTES;
     s->batches.data = own(e, g_malloc(s->batches.len + 1));
     uint8_t *out = s->batches.data;
     for (GList *l = e->fold->batch_order.head; l; l = l->next) {
         const uint64_t *digest =
             g_hash_table_lookup(e->fold->batches, l->data);
         pack_batch(l->data, *digest, out);
-        out += RAW_BATCH;
+        out += RAW_BATCH_BYTES;
     }
 }
 
 static void
 decode_batches(Fold *f, const Bg__Snapshot *s)
 {
-    for (size_t at = 0; at + RAW_BATCH <= s->batches.len; at += RAW_BATCH) {
+    for (size_t at = 0; at + RAW_BATCH_BYTES <= s->batches.len;
+         at += RAW_BATCH_BYTES) {
         const uint8_t *raw = s->batches.data + at;
         char id[BG_ID_LEN + 1];
-        bg_format_hex(raw, RAW_ID, id);
+        bg_format_hex(raw, RAW_ID_BYTES, id);
         uint64_t digest;
-        memcpy(&digest, raw + RAW_ID, sizeof(digest));
+        memcpy(&digest, raw + RAW_ID_BYTES, sizeof(digest));
         fold_add_batch_id(f, id, GUINT64_FROM_LE(digest));
     }
 }
@@ -419,7 +423,7 @@
     }
 }
 
-/* ---- whole -------------------------------------------------------------- */
+/* ---- whole state -------------------------------------------------------- */
 
 GByteArray *
 fold_encode(const Fold *f)
@@ -463,7 +467,7 @@
                     s->format);
         return false;
     }
-    /* An older snapshot would take back what was accepted since. */
+    /* An older snapshot would revert records that were applied since. */
     if (s->offset <= f->offset) {
         g_set_error(err, BG_ERROR, BG_ERR_CONFLICT,
                     "snapshot at %llu is not above %llu",
@@ -474,7 +478,8 @@
     return true;
 }
 
-/* Into a fresh fold, so that a bad snapshot leaves the old state whole. */
+/* Decodes into a new fold, so that a bad snapshot leaves the old state
+   unchanged. */
 static Fold *
 decode_snapshot(const Bg__Snapshot *s, GError **err)
 {
