--- a/src/ckpt.c
+++ b/src/ckpt.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define MAX_PARTS 4
+#define MAX_PARTIALS 4
 #define MAX_CHUNKS 65536
 
 static Bg__Record *
@@ -45,41 +45,41 @@
 
 /* ---- collecting --------------------------------------------------------- */
 
-/* One checkpoint, as far as it was read. */
+/* A checkpoint of which some chunks were read. */
 typedef struct {
     char *id;
     uint64_t covered;
     uint64_t digest;
     uint32_t chunks;
-    uint32_t got;
-    GBytes **data; /* one a chunk, NULL until read */
-} Part;
+    uint32_t chunks_read;
+    GBytes **data; /* one per chunk, NULL until read */
+} PartialCheckpoint;
 
 struct CkptCollector {
-    GPtrArray *parts; /* Part, oldest first */
+    GPtrArray *partials; /* Part, oldest first */
     GByteArray *newest;
     uint64_t covered;
 };
 
 static void
-free_part(gpointer p)
+free_partial(gpointer p)
 {
-    Part *part = p;
-    for (uint32_t i = 0; i < part->chunks; i++) {
-        if (part->data[i]) {
-            g_bytes_unref(part->data[i]);
+    PartialCheckpoint *partial = p;
+    for (uint32_t i = 0; i < partial->chunks; i++) {
+        if (partial->data[i]) {
+            g_bytes_unref(partial->data[i]);
         }
     }
-    g_free(part->data);
-    g_free(part->id);
-    g_free(part);
+    g_free(partial->data);
+    g_free(partial->id);
+    g_free(partial);
 }
 
 CkptCollector *
 ckpt_create_collector(void)
 {
     CkptCollector *c = g_new0(CkptCollector, 1);
-    c->parts = g_ptr_array_new_with_free_func(free_part);
+    c->partials = g_ptr_array_new_with_free_func(free_partial);
     return c;
 }
 
@@ -87,7 +87,7 @@
 ckpt_destroy_collector(CkptCollector *c)
 {
     if (c) {
-        g_ptr_array_free(c->parts, TRUE);
+        g_ptr_array_free(c->partials, TRUE);
         if (c->newest) {
             g_byte_array_free(c->newest, TRUE);
         }
@@ -95,50 +95,52 @@
     }
 }
 
-static Part *
-find_part(CkptCollector *c, const Bg__CheckpointRecord *r)
+static PartialCheckpoint *
+find_partial(CkptCollector *c, const Bg__CheckpointRecord *r)
 {
-    for (guint i = 0; i < c->parts->len; i++) {
-        Part *part = c->parts->pdata[i];
-        if (strcmp(part->id, r->checkpoint_id) == 0) {
-            return part;
+    for (guint i = 0; i < c->partials->len; i++) {
+        PartialCheckpoint *partial = c->partials->pdata[i];
+        if (strcmp(partial->id, r->checkpoint_id) == 0) {
+            return partial;
         }
     }
-    Part *part = g_new0(Part, 1);
-    part->id = g_strdup(r->checkpoint_id);
-    part->covered = r->covered_offset;
-    part->digest = r->digest;
-    part->chunks = r->chunks;
-    part->data = g_new0(GBytes *, r->chunks);
-    g_ptr_array_add(c->parts, part);
-    if (c->parts->len > MAX_PARTS) {
-        g_ptr_array_remove_index(c->parts, 0);
+    PartialCheckpoint *partial = g_new0(PartialCheckpoint, 1);
+    partial->id = g_strdup(r->checkpoint_id);
+    partial->covered = r->covered_offset;
+    partial->digest = r->digest;
+    partial->chunks = r->chunks;
+    partial->data = g_new0(GBytes *, r->chunks);
+    g_ptr_array_add(c->partials, partial);
+    if (c->partials->len > MAX_PARTIALS) {
+        g_ptr_array_remove_index(c->partials, 0);
     }
-    return part;
+    return partial;
 }
 
 static GByteArray *
-join_part(const Part *part)
+join_chunks(const PartialCheckpoint *partial)
 {
     GByteArray *state = g_byte_array_new();
-    for (uint32_t i = 0; i < part->chunks; i++) {
+    for (uint32_t i = 0; i < partial->chunks; i++) {
         gsize len;
-        const void *data = g_bytes_get_data(part->data[i], &len);
+        const void *data = g_bytes_get_data(partial->data[i], &len);
         g_byte_array_append(state, data, (guint)len);
     }
     return state;
 }
 
-/* A whole checkpoint whose digest is wrong is passed over: an older one, or
-   the peers, serve then. */
+/* A complete checkpoint with a wrong digest is skipped; the state then comes
+   from an older checkpoint or from a peer. */
 static void
-take_whole(CkptCollector *c, Part *part)
+finish_checkpoint(CkptCollector *c, PartialCheckpoint *partial)
 {
-    GByteArray *state = join_part(part);
-    if (XXH64(state->data, state->len, 0) != part->digest ||
-        part->covered <= c->covered) {
-        bg_log(BG_WARN, "ckpt", "Checkpoint of %llu is not used.",
-               (unsigned long long)part->covered);
+    GByteArray *state = join_chunks(partial);
+    if (XXH64(state->data, state->len, 0) != partial->digest ||
+        partial->covered <= c->covered) {
+        bg_log(BG_WARN, "ckpt",
+               "Checkpoint of offset %llu skipped: wrong digest or not newer "
+               "than one already read.",
+               (unsigned long long)partial->covered);
         g_byte_array_free(state, TRUE);
     }
     else {
@@ -146,9 +148,9 @@
             g_byte_array_free(c->newest, TRUE);
         }
         c->newest = state;
-        c->covered = part->covered;
+        c->covered = partial->covered;
     }
-    g_ptr_array_remove(c->parts, part);
+    g_ptr_array_remove(c->partials, partial);
 }
 
 static void
@@ -157,14 +159,14 @@
     if (r->chunks == 0 || r->chunks > MAX_CHUNKS || r->chunk >= r->chunks) {
         return;
     }
-    Part *part = find_part(c, r);
-    if (part->chunks != r->chunks || part->covered != r->covered_offset ||
-        part->data[r->chunk]) {
+    PartialCheckpoint *partial = find_partial(c, r);
+    if (partial->chunks != r->chunks ||
+        partial->covered != r->covered_offset || partial->data[r->chunk]) {
         return;
     }
-    part->data[r->chunk] = g_bytes_new(r->data.data, r->data.len);
-    if (++part->got == part->chunks) {
-        take_whole(c, part);
+    partial->data[r->chunk] = g_bytes_new(r->data.data, r->data.len);
+    if (++partial->chunks_read == partial->chunks) {
+        finish_checkpoint(c, partial);
     }
 }
 
