--- a/src/rec.c
+++ b/src/rec.c
@@ -45,8 +45,8 @@
            strspn(id, "0123456789abcdef") == BG_ID_LEN;
 }
 
-/* The digest is checked before the format: corrupt bytes must not pass for
-   a newer writer's, which would hold this process. */
+/* The digest is checked before the format: corrupt bytes must not be taken
+   for a newer format, at which this process would stop applying entries. */
 static bool
 check_batch(const Bg__Batch *b, GError **err)
 {
@@ -68,8 +68,8 @@
     return true;
 }
 
-/* A record without a known body: a newer program's, when it has fields
-   that this one doesn't know, else a broken writer's. */
+/* A record without a known body comes from a newer version if it has unknown
+   fields, else from a faulty writer. */
 static bool
 check_kinds(const Bg__RecordList *list, GError **err)
 {
--- a/src/rec.h
+++ b/src/rec.h
@@ -1,5 +1,6 @@
-/* rec: records as bytes.  A batch is what one append writes: a format
-   number, the author's unique id, a digest and the records. */
+/* rec: encoding of records for the log.  A batch is what one append writes: a
+   format number, a unique id chosen by the writer, a digest and the
+   records. */
 #ifndef REC_H
 #define REC_H
 
@@ -9,23 +10,23 @@
 #define REC_FORMAT 1
 #define REC_MAX_BATCH_BYTES (1024 * 1024)
 
-/* A decoded batch.  records belongs to it. */
+/* A decoded batch; owns LIST. */
 typedef struct {
     char batch_id[BG_ID_LEN + 1];
     Bg__RecordList *list;
 } RecBatch;
 
-/* The digest of a batch.  It covers the id: a damaged one would name another
-   batch, and the same records could take effect twice. */
+/* The digest of a batch.  It covers the id, as a batch with a damaged id would
+   pass for a new one and its records could take effect twice. */
 uint64_t rec_digest(uint32_t format, const char *batch_id,
                     const uint8_t *payload, size_t len);
-/* Bytes of a batch with RECORDS under BATCH_ID; free with g_free. */
+/* Encode RECORDS as a batch with BATCH_ID; free with g_free. */
 uint8_t *rec_encode_batch(const char *batch_id, Bg__Record **records,
                           size_t count, size_t *len);
 /* False with BG_ERR_FORMAT when the bytes are truncated or corrupt, and with
-   BG_ERR_NEWER when they are whole but of a newer format or kind; nothing of
-   them may then be applied.  Whatever changes what a record means, or which
-   records take effect, raises REC_FORMAT. */
+   BG_ERR_NEWER when they are intact but of a newer format or record kind; no
+   record of them may then be applied.  Every change to what a record means,
+   or to which records take effect, must raise REC_FORMAT. */
 bool rec_decode_batch(const uint8_t *data, size_t len, RecBatch *out,
                       GError **err);
 void rec_free_batch(RecBatch *b);
