--- a/src/keep.c
+++ b/src/keep.c
@@ -1,20 +1,22 @@
 #include "keep.h"
 
-#define KEEP_FIRST_MS 64u
-/* Each gap weighs this much less once the next one is seen: about the last
-   thirty count. */
+#define KEEP_MIN_MS 64u
+/* Weight of older gaps is multiplied by this for each new one: about the last
+   30 gaps count. */
 #define KEEP_DECAY 0.97f
-#define KEEP_ENOUGH 4.0f
-/* A learnt time-out may pass the break-even point by this factor at most,
-   which bounds the loss when the pattern changes. */
-#define KEEP_STRETCH 2.0
+#define KEEP_MIN_TOTAL 4.0f
+/* A learnt timeout is at most this many times the break-even point, which
+   bounds the loss when the pattern of use changes. */
+#define KEEP_MAX_STRETCH 2.0
 
 static uint64_t
 get_edge_ms(int bucket)
 {
-    uint64_t octave_ms = (uint64_t)KEEP_FIRST_MS << (bucket / KEEP_PARTS);
-    return octave_ms +
-           octave_ms * (uint64_t)(bucket % KEEP_PARTS + 1) / KEEP_PARTS;
+    uint64_t octave_ms = (uint64_t)KEEP_MIN_MS
+                         << (bucket / KEEP_OCTAVE_BUCKETS);
+    return octave_ms + octave_ms *
+                           (uint64_t)(bucket % KEEP_OCTAVE_BUCKETS + 1) /
+                           KEEP_OCTAVE_BUCKETS;
 }
 
 static int
@@ -41,18 +43,19 @@
 keep_choose_ms(const KeepStats *s, double cold_cost, double idle_cost)
 {
     double even_ms = cold_cost / idle_cost;
-    if (s->total < KEEP_ENOUGH) {
+    if (s->total < KEEP_MIN_TOTAL) {
         return (uint64_t)even_ms;
     }
-    /* Time-out 0 first; then each edge in turn moves one bucket from "cold"
-       to "kept". */
+    /* Starts from timeout 0, where every gap ends in a cold start.  Each
+       further edge adds a bucket of gaps through which the replica stays
+       loaded. */
     double kept = 0;
     double cold = (double)s->total;
     double best_cost = cold * cold_cost;
     uint64_t best_ms = 0;
     for (int i = 0; i < KEEP_BUCKETS; i++) {
         double edge_ms = (double)get_edge_ms(i);
-        if (edge_ms > even_ms * KEEP_STRETCH) {
+        if (edge_ms > even_ms * KEEP_MAX_STRETCH) {
             break;
         }
         kept += (double)s->counts[i] * edge_ms * idle_cost;
