--- a/src/feed.c
+++ b/src/feed.c
@@ -6,73 +6,74 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define BOOT_WAIT_MS 300        /* for first words of peers */
-#define BOOT_WAIT_EMPTY_MS 1500 /* the same, when the log is empty */
-#define PEER_LIVE_MS 1500       /* a heartbeat counts for so long */
-#define READ_LIVE_MS 3000       /* a read counts for so long */
-#define FETCH_AGAIN_MS 300
-#define SNAPSHOT_AGAIN_MS 1000
-#define RESCAN_MS 1000
-#define RESET_MS 1000
+#define START_WAIT_MS 300        /* for the first heartbeats of peers */
+#define START_WAIT_EMPTY_MS 1500 /* the same, if the log is empty */
+#define PEER_LIVE_MS 1500        /* a peer is live after a heartbeat */
+#define READ_LIVE_MS 3000        /* the log is readable after a read */
+#define ENTRIES_RETRY_MS 300
+#define SNAPSHOT_RETRY_MS 1000
+#define RESCAN_DELAY_MS 1000
+#define RESET_CONFIRM_MS 1000
 #define MAX_HOPS 8
 #define RECENT_BYTES (4u * 1024 * 1024)
 #define RECENT_ENTRIES 8192
 #define RELAY_BYTES (1024u * 1024)
 #define RELAY_MAX_BYTES (3u * 1024 * 1024)
-#define SNAPSHOT_CHUNK (1024u * 1024)
-#define SNAPSHOT_MAX (256u * 1024 * 1024)
+#define SNAPSHOT_CHUNK_BYTES (1024u * 1024)
+#define SNAPSHOT_MAX_BYTES (256u * 1024 * 1024)
 #define SNAPSHOT_KEEP_MS 10000
-#define SCAN_WIDER 8
-#define SPREAD_MS 1500         /* checkpoint writers of data centres */
-#define WRITE_HOLD_OFF_MS 5000 /* for a checkpoint that was begun */
-#define APPEND_HOLD_MS 5000
+#define SCAN_WIDEN_FACTOR 8
+#define CHECKPOINT_JITTER_MS 1500   /* between writers of data centres */
+#define CHECKPOINT_HOLD_OFF_MS 5000 /* after a checkpoint was begun */
+#define MAX_APPEND_HOLD_MS 5000
 
 typedef enum {
-    PHASE_START, /* finding out where a state can be had */
-    PHASE_SCAN,  /* looking for a checkpoint in the log */
-    PHASE_FOLLOW /* entries take effect as they come */
+    PHASE_START, /* choosing where to get the initial state */
+    PHASE_SCAN,  /* reading the log for a checkpoint */
+    PHASE_FOLLOW /* applying entries as they arrive */
 } Phase;
 
-/* Another process, as its link and heartbeats tell. */
+/* Another process, as known from its links and heartbeats. */
 typedef struct {
     char *name;
     char *data_centre;
     bool placer;
     uint32_t links;
-    uint64_t beat_ms; /* 0: none yet */
-    uint64_t applied;
+    uint64_t heartbeat_ms; /* time of the last one; 0: none yet */
+    uint64_t applied;      /* its applied offset; 0: it has no state */
     uint32_t hops;
-    uint64_t id;   /* digest of its name */
-    uint64_t root; /* of the process that reads the log for it */
+    uint64_t name_hash;   /* digest of its name */
+    uint64_t reader_hash; /* of the name of the process that reads the log for
+                             it, directly or over further hops */
     uint64_t log_first;
     uint64_t log_next;
-    bool held;
-    bool differs;    /* other entries than ours at one offset */
-    bool subscribed; /* it asked for entries */
-    uint64_t sent;   /* up to this offset */
+    bool held;       /* a fault keeps it from applying entries */
+    bool differs;    /* it applied different entries up to our offset */
+    bool subscribed; /* it wants entries as they are applied here */
+    uint64_t sent;   /* offset of the last entry sent to it */
 } Peer;
 
-/* An entry kept for those that follow this process. */
+/* An applied entry, kept for peers that follow this process. */
 typedef struct {
     uint64_t offset;
     uint64_t chain_before;
     uint8_t *data;
     size_t len;
-} Recent;
+} RecentEntry;
 
-/* A snapshot that is being fetched. */
+/* A snapshot that is being fetched from a peer. */
 typedef struct {
     bool wanted;
-    char *peer; /* asked, or NULL */
-    uint64_t asked_ms;
+    char *peer;        /* it is fetched from, or NULL */
+    uint64_t asked_ms; /* when the last chunk was requested */
     uint64_t offset;
     uint64_t digest;
     uint32_t chunks;
-    uint32_t next;
-    GByteArray *data;
+    uint32_t next;    /* chunk to fetch next */
+    GByteArray *data; /* the chunks before it */
 } Fetch;
 
-/* A snapshot that is being given away. */
+/* A snapshot that is being served to peers. */
 typedef struct {
     GByteArray *data;
     uint64_t offset;
@@ -87,48 +88,49 @@
     BgRandom rng;
     Phase phase;
     uint64_t start_ms; /* first tick */
-    bool has_state;
-    uint64_t target; /* log's next offset that must be reached once */
-    GHashTable *peers;
-
-    uint64_t reading; /* offset asked of the log; 0: none */
-    bool log_ok;
-    bool log_tried;
+    bool has_state;    /* see feed_has_state */
+    uint64_t target;   /* the log's next offset when following it began; once
+                          it is reached, has_state is set */
+    GHashTable *peers; /* name -> Peer */
+
+    uint64_t read_offset; /* offset from which the log is read; 0: not read */
+    bool log_ok;          /* the last read succeeded */
+    bool log_tried;       /* a read succeeded or failed */
     uint64_t log_ok_ms;
-    uint64_t log_first;
+    uint64_t log_first; /* bounds of the log at the last successful read */
     uint64_t log_next;
 
     CkptCollector *scan;
-    uint64_t scan_from;
-    uint64_t scan_began;
-    uint64_t scan_until;
-    uint64_t scan_window;
-    uint64_t rescan_ms;
-
-    char *source; /* followed peer, or NULL */
-    uint64_t fetch_ms;
-    uint64_t no_source_ms; /* since when; 0: there is one */
-    uint64_t behind_ms;    /* since when somebody is ahead; 0: nobody */
-    GQueue recent;
+    uint64_t scan_from;  /* next offset to scan */
+    uint64_t scan_start; /* first and last + 1 of the scan */
+    uint64_t scan_end;
+    uint64_t scan_window; /* entries to scan, back from the log's end */
+    uint64_t rescan_ms;   /* when to scan again */
+
+    char *source;                /* peer that is followed, or NULL */
+    uint64_t fetch_ms;           /* when entries were last requested */
+    uint64_t no_source_since_ms; /* 0: a peer can be followed */
+    uint64_t behind_since_ms;    /* 0: no live peer is ahead */
+    GQueue recent;               /* RecentEntry, oldest first */
     size_t recent_bytes;
 
     Fetch fetch;
     Served served;
 
-    char *fault;
-    uint64_t bad_offset;
-    uint64_t bad_digest;
-    uint64_t reset_ms; /* since when the log ends below our offset */
-    bool was_reset;
-
-    uint64_t checkpoint_seen; /* covered */
-    uint64_t checkpoint_ms;   /* when it was seen */
-    uint64_t due_ms;          /* when this process writes; 0: not due */
-    uint64_t hold_ms;         /* since when appends are held */
-    bool open;
+    char *fault;             /* why no more entries are applied, or NULL */
+    uint64_t bad_offset;     /* last entry read that did not decode */
+    uint64_t bad_digest;     /* of its bytes */
+    uint64_t reset_since_ms; /* since when the log ends below our offset */
+    bool was_reset;          /* it did for RESET_CONFIRM_MS */
+
+    uint64_t checkpoint_covered; /* offset of the newest checkpoint */
+    uint64_t checkpoint_ms;      /* when it was first seen */
+    uint64_t write_at_ms;        /* when this process writes one; 0: not due */
+    uint64_t hold_since_ms; /* since when appends are held; 0: they are not */
+    bool appends_open;
 };
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- construction ------------------------------------------------------- */
 
 static void
 free_peer(gpointer p)
@@ -142,7 +144,7 @@
 static void
 free_recent(gpointer p)
 {
-    Recent *r = p;
+    RecentEntry *r = p;
     g_free(r->data);
     g_free(r);
 }
@@ -221,7 +223,8 @@
 static bool
 is_live(const Peer *p, uint64_t now_ms)
 {
-    return p->links > 0 && p->beat_ms && now_ms - p->beat_ms < PEER_LIVE_MS;
+    return p->links > 0 && p->heartbeat_ms &&
+           now_ms - p->heartbeat_ms < PEER_LIVE_MS;
 }
 
 /* The live peer with the highest offset, or NULL. */
@@ -243,45 +246,46 @@
 }
 
 static uint64_t
-weigh(const char *a, const char *b)
+rendezvous_hash(const char *a, const char *b)
 {
     return XXH64(a, strlen(a), XXH64(b, strlen(b), 0));
 }
 
-/* Whether P is a better source than BEST: nearer to the log; of two equal
-   ones this process has its own choice, so that followers spread. */
+/* Whether P is a better source than BEST: fewer hops to the log, then the
+   higher rendezvous hash with this process, which spreads the followers. */
 static bool
 is_better(const Feed *f, const Peer *p, const Peer *best)
 {
     if (!best || p->hops != best->hops) {
         return !best || p->hops < best->hops;
     }
-    return weigh(f->params.node, p->name) > weigh(f->params.node, best->name);
+    return rendezvous_hash(f->params.node, p->name) >
+           rendezvous_hash(f->params.node, best->name);
 }
 
 static uint64_t
-make_id(const char *name)
+hash_name(const char *name)
 {
     return XXH64(name, strlen(name), 0);
 }
 
-/* Whether entries that come by way of ROOT have ceased: it is this process,
-   which looks for a source itself, or it says that it reads no more.  Without
-   it processes would go on following each other for a while and take the log
-   for reachable. */
+/* Whether READER_HASH names a process that no longer reads the log: this
+   process, which is looking for a source itself, or a peer that is not live
+   or reports other than one hop.  Without this check processes would follow
+   each other in a loop for a while and take the log for reachable. */
 static bool
-is_dead_root(const Feed *f, uint64_t now_ms, uint64_t root)
+is_stale_reader(const Feed *f, uint64_t now_ms, uint64_t reader_hash)
 {
     GHashTableIter it;
     gpointer p;
     g_hash_table_iter_init(&it, f->peers);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         const Peer *peer = p;
-        if (peer->id == root) {
+        if (peer->name_hash == reader_hash) {
             return !is_live(peer, now_ms) || peer->hops != 1;
         }
     }
-    return root == make_id(f->params.node);
+    return reader_hash == hash_name(f->params.node);
 }
 
 static Peer *
@@ -294,7 +298,8 @@
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         Peer *peer = p;
         if (is_live(peer, now_ms) && !peer->held && peer->hops > 0 &&
-            peer->hops < MAX_HOPS && !is_dead_root(f, now_ms, peer->root) &&
+            peer->hops < MAX_HOPS &&
+            !is_stale_reader(f, now_ms, peer->reader_hash) &&
             is_better(f, peer, best)) {
             best = peer;
         }
@@ -302,15 +307,15 @@
     return best;
 }
 
-/* Rendezvous: each process of a data centre ranks its live placers by one
-   hash, so all pick the same few readers without a word between them. */
+/* Rendezvous hashing: all processes of a data centre rank its live placers by
+   the same hash, so they agree on the readers without any messages. */
 bool
 feed_is_reader(const Feed *f, uint64_t now_ms)
 {
     if (strcmp(f->params.role, "placer") != 0) {
         return false;
     }
-    uint64_t mine = weigh(f->params.node, f->params.data_centre);
+    uint64_t mine = rendezvous_hash(f->params.node, f->params.data_centre);
     uint32_t above = 0;
     GHashTableIter it;
     gpointer p;
@@ -319,7 +324,7 @@
         Peer *peer = p;
         if (peer->placer && is_live(peer, now_ms) && !peer->held &&
             strcmp(peer->data_centre, f->params.data_centre) == 0 &&
-            weigh(peer->name, f->params.data_centre) > mine) {
+            rendezvous_hash(peer->name, f->params.data_centre) > mine) {
             above++;
         }
     }
@@ -329,16 +334,16 @@
 static bool
 reads_log(const Feed *f, uint64_t now_ms)
 {
-    return f->reading && f->log_ok && now_ms - f->log_ok_ms < READ_LIVE_MS;
+    return f->read_offset && f->log_ok && now_ms - f->log_ok_ms < READ_LIVE_MS;
 }
 
-/* ---- entries that take effect ------------------------------------------- */
+/* ---- applying entries --------------------------------------------------- */
 
 static void
-keep_recent(Feed *f, uint64_t offset, uint64_t chain_before,
-            const uint8_t *data, size_t len)
+add_recent(Feed *f, uint64_t offset, uint64_t chain_before,
+           const uint8_t *data, size_t len)
 {
-    Recent *r = g_new0(Recent, 1);
+    RecentEntry *r = g_new0(RecentEntry, 1);
     r->offset = offset;
     r->chain_before = chain_before;
     r->data = g_memdup2(data, len);
@@ -347,7 +352,7 @@
     f->recent_bytes += len;
     while (f->recent.length > 1 && (f->recent_bytes > RECENT_BYTES ||
                                     f->recent.length > RECENT_ENTRIES)) {
-        Recent *old = g_queue_pop_head(&f->recent);
+        RecentEntry *old = g_queue_pop_head(&f->recent);
         f->recent_bytes -= old->len;
         free_recent(old);
     }
@@ -361,7 +366,8 @@
     f->fault = text;
 }
 
-/* Apply the next entry.  False when it must not take effect here. */
+/* Apply the next entry.  False if it is of a newer format: this process then
+   stays at the offset before it. */
 static bool
 apply_entry(Feed *f, uint64_t offset, const uint8_t *data, size_t len)
 {
@@ -376,19 +382,20 @@
             return false;
         }
         bg_count("feed_refused_entries_total", 1);
-        bg_log(BG_FAULT, "feed", "Entry %llu is refused whole: %s.",
+        bg_log(BG_FAULT, "feed", "Entry %llu is skipped: %s.",
                (unsigned long long)offset, err->message);
     }
-    keep_recent(f, offset, chain, data, len);
-    f->behind_ms = 0;
+    add_recent(f, offset, chain, data, len);
+    f->behind_since_ms = 0;
     return true;
 }
 
-/* Bytes may be damaged on the way to this process only.  Passing over an
-   entry that others apply would make this state differ for good, so the log
-   has to show the same bytes twice before they count as refused. */
+/* Whether E can be handed to the fold.  Bytes may be damaged on the way to
+   this process only, and skipping an entry that others apply would make this
+   state differ for good.  So an entry that does not decode is accepted, and
+   then skipped, only after two reads returned the same bytes. */
 static bool
-is_credible(Feed *f, const LogEntry *e)
+is_confirmed(Feed *f, const LogEntry *e)
 {
     RecBatch batch = {0};
     g_autoptr(GError) err = NULL;
@@ -403,13 +410,15 @@
     }
     f->bad_offset = e->offset;
     f->bad_digest = digest;
-    bg_log(BG_WARN, "feed", "Entry %llu does not decode (%s); read again.",
+    bg_log(BG_WARN, "feed",
+           "Entry %llu does not decode (%s); reading it again.",
            (unsigned long long)e->offset, err->message);
     return false;
 }
 
-/* Entries of one read, in the order the service gave them.  Whatever is not
-   the next offset is not applied: a hole would leave a record out. */
+/* Apply the entries of one read, in the order in which the log service
+   returned them, up to the first that is not at the next offset: a gap would
+   omit records. */
 static void
 apply_page(Feed *f, const LogPage *page)
 {
@@ -420,11 +429,12 @@
             continue;
         }
         if (e->offset > next) {
-            bg_log(BG_WARN, "feed", "The log gave %llu in place of %llu.",
+            bg_log(BG_WARN, "feed",
+                   "The log returned entry %llu instead of entry %llu.",
                    (unsigned long long)e->offset, (unsigned long long)next);
             break;
         }
-        if (!is_credible(f, e) ||
+        if (!is_confirmed(f, e) ||
             !apply_entry(f, e->offset, e->data, e->len)) {
             break;
         }
@@ -450,7 +460,7 @@
 }
 
 static Bg__Entry *
-make_entry(const Recent *r)
+make_entry(const RecentEntry *r)
 {
     Bg__Entry *e = g_new(Bg__Entry, 1);
     bg__entry__init(e);
@@ -461,16 +471,16 @@
     return e;
 }
 
-/* Send TO what it lacks, as far as it is kept here; else it needs a
-   snapshot. */
+/* Send TO the entries that it lacks.  If they are no longer kept here, report
+   them as trimmed: it then needs a snapshot. */
 static void
 serve_peer(Feed *f, Peer *to)
 {
     GList *l = f->recent.tail;
-    while (l && ((Recent *)l->data)->offset > to->sent + 1) {
+    while (l && ((RecentEntry *)l->data)->offset > to->sent + 1) {
         l = l->prev;
     }
-    const Recent *first = l ? l->data : NULL;
+    const RecentEntry *first = l ? l->data : NULL;
     if (!first || first->offset != to->sent + 1 ||
         first->len > RELAY_MAX_BYTES) {
         send_relay(f, to, to->sent, 0, NULL, true);
@@ -480,9 +490,9 @@
     while (l) {
         g_autoptr(GPtrArray) list = g_ptr_array_new_with_free_func(g_free);
         size_t bytes = 0;
-        const Recent *head = l->data;
+        const RecentEntry *head = l->data;
         for (; l; l = l->next) {
-            const Recent *r = l->data;
+            const RecentEntry *r = l->data;
             if (list->len > 0 && bytes + r->len > RELAY_BYTES) {
                 break;
             }
@@ -522,7 +532,7 @@
 /* ---- entries from a peer ------------------------------------------------ */
 
 static void
-ask_entries(Feed *f, uint64_t now_ms, const char *peer, bool stop)
+request_entries(Feed *f, uint64_t now_ms, const char *peer, bool stop)
 {
     Bg__RelayFetch r = BG__RELAY_FETCH__INIT;
     r.after = fold_get_offset(f->fold);
@@ -534,8 +544,8 @@
     f->fetch_ms = now_ms;
 }
 
-/* The entries of R continue what this process has: same history up to here,
-   no hole, nothing damaged on the way. */
+/* Whether the entries of R continue this process's history: the digests up to
+   the applied offset agree, there is no gap, and no entry is damaged. */
 static bool
 check_relay(const Feed *f, const Bg__Relay *r, const char *from)
 {
@@ -547,7 +557,8 @@
         const Bg__Entry *e = r->entries[i];
         if (e->offset != next++ ||
             XXH64(e->data.data, e->data.len, 0) != e->digest) {
-            bg_log(BG_WARN, "feed", "Entries from %s are damaged.", from);
+            bg_log(BG_WARN, "feed",
+                   "Entries from %s have a gap or a wrong digest.", from);
             return false;
         }
         chain = XXH64(e->data.data, e->data.len, chain);
@@ -571,12 +582,13 @@
         return;
     }
     if (r->after > mine) {
-        ask_entries(f, now_ms, from->name, false);
+        request_entries(f, now_ms, from->name, false);
         return;
     }
     if (!check_relay(f, r, from->name)) {
-        bg_log(BG_FAULT, "feed", "%s has another history at %llu.", from->name,
-               (unsigned long long)mine);
+        bg_log(BG_FAULT, "feed",
+               "Entries from %s do not continue the history at offset %llu.",
+               from->name, (unsigned long long)mine);
         f->fetch.wanted = true;
         return;
     }
@@ -594,7 +606,7 @@
 /* ---- snapshots ---------------------------------------------------------- */
 
 static void
-ask_chunk(Feed *f, uint64_t now_ms)
+request_chunk(Feed *f, uint64_t now_ms)
 {
     Bg__SnapshotFetch s = BG__SNAPSHOT_FETCH__INIT;
     s.offset = f->fetch.next ? f->fetch.offset : 0;
@@ -610,13 +622,13 @@
 start_fetch(Feed *f, uint64_t now_ms)
 {
     const Peer *peer = find_highest(f, now_ms);
-    if (f->fetch.peer && now_ms - f->fetch.asked_ms < SNAPSHOT_AGAIN_MS) {
+    if (f->fetch.peer && now_ms - f->fetch.asked_ms < SNAPSHOT_RETRY_MS) {
         return;
     }
     clear_fetch(f);
     if (peer && peer->applied > fold_get_offset(f->fold)) {
         f->fetch.peer = g_strdup(peer->name);
-        ask_chunk(f, now_ms);
+        request_chunk(f, now_ms);
     }
 }
 
@@ -643,20 +655,20 @@
         refresh_served(f, now_ms);
     }
     f->served.used_ms = now_ms;
-    uint32_t chunks =
-        (f->served.data->len + SNAPSHOT_CHUNK - 1) / SNAPSHOT_CHUNK;
+    uint32_t chunks = (f->served.data->len + SNAPSHOT_CHUNK_BYTES - 1) /
+                      SNAPSHOT_CHUNK_BYTES;
     uint32_t chunk = newest ? 0 : r->chunk;
     if (chunk >= chunks) {
         return;
     }
-    size_t at = (size_t)chunk * SNAPSHOT_CHUNK;
+    size_t at = (size_t)chunk * SNAPSHOT_CHUNK_BYTES;
     Bg__SnapshotChunk c = BG__SNAPSHOT_CHUNK__INIT;
     c.offset = f->served.offset;
     c.digest = f->served.digest;
     c.chunk = chunk;
     c.chunks = chunks;
     c.data.data = f->served.data->data + at;
-    c.data.len = MIN(SNAPSHOT_CHUNK, f->served.data->len - at);
+    c.data.len = MIN(SNAPSHOT_CHUNK_BYTES, f->served.data->len - at);
     Bg__Frame frame = BG__FRAME__INIT;
     frame.body_case = BG__FRAME__BODY_SNAPSHOT_CHUNK;
     frame.snapshot_chunk = &c;
@@ -664,39 +676,40 @@
 }
 
 static void
-go_on_reading(Feed *f)
+resume_reading(Feed *f)
 {
-    f->reading = fold_get_offset(f->fold) + 1;
-    f->out.read_from(f->out.ctx, f->reading);
+    f->read_offset = fold_get_offset(f->fold) + 1;
+    f->out.read_from(f->out.ctx, f->read_offset);
 }
 
 static void
 set_reading(Feed *f, bool on)
 {
-    if (on && !f->reading) {
-        /* What the last read said, maybe long ago, holds no more. */
+    if (on && !f->read_offset) {
+        /* The result of the last read may be out of date. */
         f->log_ok = false;
-        go_on_reading(f);
+        resume_reading(f);
     }
-    else if (!on && f->reading) {
-        f->reading = 0;
+    else if (!on && f->read_offset) {
+        f->read_offset = 0;
         f->out.read_from(f->out.ctx, 0);
     }
 }
 
-/* Take a state in place of this one; false when it may not. */
+/* Replace the fold's state by STATE; false, and no change, if the fold
+   rejects it.  ORIGIN: where it came from, for the log text. */
 static bool
-restore(Feed *f, const GByteArray *state, const char *whence)
+restore_state(Feed *f, const GByteArray *state, const char *origin)
 {
     g_autoptr(GError) err = NULL;
     if (!fold_restore(f->fold, state->data, state->len, &err)) {
         bg_log(err->code == BG_ERR_CONFLICT ? BG_INFO : BG_FAULT, "feed",
-               "A state from %s is not taken: %s.", whence, err->message);
+               "State from %s is rejected: %s.", origin, err->message);
         return false;
     }
     clear_recent(f);
     clear_served(f);
-    f->behind_ms = 0;
+    f->behind_since_ms = 0;
     f->phase = PHASE_FOLLOW;
     f->fetch.wanted = false;
     f->target = f->log_next;
@@ -704,8 +717,8 @@
     if (f->out.on_restored) {
         f->out.on_restored(f->out.ctx);
     }
-    bg_log(BG_INFO, "feed", "State at offset %llu taken from %s, %u bytes.",
-           (unsigned long long)fold_get_offset(f->fold), whence, state->len);
+    bg_log(BG_INFO, "feed", "State at offset %llu restored from %s, %u bytes.",
+           (unsigned long long)fold_get_offset(f->fold), origin, state->len);
     return true;
 }
 
@@ -714,11 +727,12 @@
 {
     GByteArray *data = f->fetch.data;
     if (XXH64(data->data, data->len, 0) != f->fetch.digest) {
-        bg_log(BG_WARN, "feed", "A state from %s is damaged.", f->fetch.peer);
+        bg_log(BG_WARN, "feed", "Snapshot from %s has a wrong digest.",
+               f->fetch.peer);
     }
-    else if (restore(f, data, f->fetch.peer)) {
+    else if (restore_state(f, data, f->fetch.peer)) {
         f->has_state = true;
-        go_on_reading(f);
+        resume_reading(f);
     }
     clear_fetch(f);
 }
@@ -741,7 +755,7 @@
     }
     if (!f->fetch.data || c->offset != f->fetch.offset ||
         c->chunk != f->fetch.next ||
-        f->fetch.data->len + c->data.len > SNAPSHOT_MAX) {
+        f->fetch.data->len + c->data.len > SNAPSHOT_MAX_BYTES) {
         return;
     }
     g_byte_array_append(f->fetch.data, c->data.data, (guint)c->data.len);
@@ -749,11 +763,11 @@
         finish_fetch(f);
     }
     else {
-        ask_chunk(f, now_ms);
+        request_chunk(f, now_ms);
     }
 }
 
-/* ---- a state to start from ---------------------------------------------- */
+/* ---- initial state ------------------------------------------------------ */
 
 static void
 start_scan(Feed *f)
@@ -763,10 +777,10 @@
     ckpt_destroy_collector(f->scan);
     f->scan = ckpt_create_collector();
     f->phase = PHASE_SCAN;
-    f->scan_from = f->scan_began = MAX(from, f->log_first);
-    f->scan_until = f->log_next;
-    f->reading = f->scan_from;
-    f->out.read_from(f->out.ctx, f->reading);
+    f->scan_from = f->scan_start = MAX(from, f->log_first);
+    f->scan_end = f->log_next;
+    f->read_offset = f->scan_from;
+    f->out.read_from(f->out.ctx, f->read_offset);
 }
 
 static void
@@ -774,7 +788,7 @@
 {
     f->phase = PHASE_FOLLOW;
     f->target = MAX(f->log_next, 1);
-    go_on_reading(f);
+    resume_reading(f);
 }
 
 static bool
@@ -783,15 +797,16 @@
     uint64_t covered;
     const GByteArray *state = ckpt_get_newest(f->scan, &covered);
     return state && covered + 1 >= f->log_first &&
-           covered > fold_get_offset(f->fold) && restore(f, state, "the log");
+           covered > fold_get_offset(f->fold) &&
+           restore_state(f, state, "the log");
 }
 
 static void
 finish_scan(Feed *f, uint64_t now_ms)
 {
     bool taken = take_checkpoint(f);
-    if (!taken && f->scan_began > f->log_first) {
-        f->scan_window *= SCAN_WIDER;
+    if (!taken && f->scan_start > f->log_first) {
+        f->scan_window *= SCAN_WIDEN_FACTOR;
         start_scan(f);
         return;
     }
@@ -799,12 +814,12 @@
         follow_log(f);
     }
     else {
-        /* The log begins after what this process has and holds no state:
-           only the peers can help. */
-        bg_log(BG_WARN, "feed", "No state to start from in the log.");
+        /* The log begins above the applied offset and holds no checkpoint:
+           only a peer's snapshot can close the gap. */
+        bg_log(BG_WARN, "feed", "The log holds no checkpoint to start from.");
         f->fetch.wanted = true;
-        f->rescan_ms = now_ms + RESCAN_MS;
-        f->reading = 0;
+        f->rescan_ms = now_ms + RESCAN_DELAY_MS;
+        f->read_offset = 0;
         f->out.read_from(f->out.ctx, 0);
     }
     ckpt_destroy_collector(f->scan);
@@ -822,27 +837,28 @@
         ckpt_collect(f->scan, e->data, e->len);
         f->scan_from = MAX(f->scan_from, e->offset + 1);
     }
-    if (f->scan_from >= f->scan_until || page->entries->len == 0) {
+    if (f->scan_from >= f->scan_end || page->entries->len == 0) {
         finish_scan(f, now_ms);
         return;
     }
-    f->reading = f->scan_from;
-    f->out.read_from(f->out.ctx, f->reading);
+    f->read_offset = f->scan_from;
+    f->out.read_from(f->out.ctx, f->read_offset);
 }
 
-/* The log was answered, or not, and peers had time to say hello. */
+/* Choose the source of the initial state, once the first read has succeeded
+   or failed and peers had time to send heartbeats. */
 static void
 decide_start(Feed *f, uint64_t now_ms)
 {
     const Peer *peer = find_highest(f, now_ms);
     uint64_t theirs = peer ? peer->applied : 0;
     bool empty = f->log_ok && f->log_next <= 1;
-    uint32_t wait_ms = empty ? BOOT_WAIT_EMPTY_MS : BOOT_WAIT_MS;
+    uint32_t wait_ms = empty ? START_WAIT_EMPTY_MS : START_WAIT_MS;
     if (now_ms - f->start_ms < wait_ms || !f->log_tried) {
         return;
     }
     if (!f->log_ok || theirs >= f->log_next) {
-        /* No log, or one that ends below what a peer has seen of it. */
+        /* The log is unreachable, or ends below what a peer has applied. */
         f->fetch.wanted = theirs > 0;
         return;
     }
@@ -855,27 +871,28 @@
     }
 }
 
-/* ---- the log's answers -------------------------------------------------- */
+/* ---- results of reads --------------------------------------------------- */
 
-/* A log that ends below our offset was replaced or lost its end.  What was
-   accepted stays in force; its new entries are another history and are not
-   read until it shows the last entry that we have. */
+/* Detects a log that ends below the applied offset: it was replaced or lost
+   its tail.  The applied state stays in force.  The log's new entries belong
+   to another history, so they are ignored until the log holds the last
+   applied entry again. */
 static void
-watch_reset(Feed *f, uint64_t now_ms, const LogPage *page)
+detect_reset(Feed *f, uint64_t now_ms, const LogPage *page)
 {
     uint64_t mine = fold_get_offset(f->fold);
     if (!f->was_reset && page->next > mine) {
-        f->reset_ms = 0;
+        f->reset_since_ms = 0;
         return;
     }
-    if (!f->reset_ms) {
-        f->reset_ms = now_ms;
+    if (!f->reset_since_ms) {
+        f->reset_since_ms = now_ms;
     }
-    if (!f->was_reset && now_ms - f->reset_ms >= RESET_MS) {
+    if (!f->was_reset && now_ms - f->reset_since_ms >= RESET_CONFIRM_MS) {
         f->was_reset = true;
         bg_log(BG_FAULT, "feed",
-               "The log ends at %llu, below offset %llu seen before; what "
-               "was accepted stays in force.",
+               "The log ends at %llu, below the applied offset %llu; the "
+               "applied state stays in force.",
                (unsigned long long)page->next, (unsigned long long)mine);
     }
 }
@@ -883,7 +900,7 @@
 static bool
 shows_last_entry(const Feed *f, const LogPage *page)
 {
-    const Recent *last = g_queue_peek_tail((GQueue *)&f->recent);
+    const RecentEntry *last = g_queue_peek_tail((GQueue *)&f->recent);
     if (!last || page->entries->len == 0) {
         return false;
     }
@@ -895,11 +912,11 @@
 static void
 follow_page(Feed *f, uint64_t now_ms, const LogPage *page)
 {
-    watch_reset(f, now_ms, page);
+    detect_reset(f, now_ms, page);
     if (f->was_reset && shows_last_entry(f, page)) {
-        bg_log(BG_INFO, "feed", "The log has its entries again.");
+        bg_log(BG_INFO, "feed", "The log holds the last applied entry again.");
         f->was_reset = false;
-        f->reset_ms = 0;
+        f->reset_since_ms = 0;
     }
     if (!f->was_reset) {
         apply_page(f, page);
@@ -908,14 +925,14 @@
     if (f->fault) {
         set_reading(f, false);
     }
-    else if (f->reading) {
-        f->reading = fold_get_offset(f->fold) + (f->was_reset ? 0 : 1);
-        f->out.read_from(f->out.ctx, f->reading);
+    else if (f->read_offset) {
+        f->read_offset = fold_get_offset(f->fold) + (f->was_reset ? 0 : 1);
+        f->out.read_from(f->out.ctx, f->read_offset);
     }
 }
 
 static void
-note_log(Feed *f, uint64_t now_ms, uint64_t first, uint64_t next)
+update_log_range(Feed *f, uint64_t now_ms, uint64_t first, uint64_t next)
 {
     f->log_ok = f->log_tried = true;
     f->log_ok_ms = now_ms;
@@ -926,7 +943,7 @@
 void
 feed_on_page(Feed *f, uint64_t now_ms, uint64_t from, const LogPage *page)
 {
-    note_log(f, now_ms, page->first, page->next);
+    update_log_range(f, now_ms, page->first, page->next);
     if (f->phase == PHASE_SCAN) {
         scan_page(f, now_ms, from, page);
     }
@@ -938,13 +955,14 @@
 void
 feed_on_trimmed(Feed *f, uint64_t now_ms, uint64_t first, uint64_t next)
 {
-    note_log(f, now_ms, first, next);
+    update_log_range(f, now_ms, first, next);
     if (f->phase == PHASE_SCAN && f->scan) {
         start_scan(f);
     }
     else if (f->phase == PHASE_FOLLOW &&
              fold_get_offset(f->fold) + 1 < first && !f->fault) {
-        bg_log(BG_WARN, "feed", "The log begins at %llu, after offset %llu.",
+        bg_log(BG_WARN, "feed",
+               "The log begins at %llu, beyond the applied offset %llu.",
                (unsigned long long)first,
                (unsigned long long)fold_get_offset(f->fold));
         f->fetch.wanted = true;
@@ -953,7 +971,7 @@
 }
 
 void
-feed_on_away(Feed *f, uint64_t now_ms)
+feed_on_unreachable(Feed *f, uint64_t now_ms)
 {
     (void)now_ms;
     f->log_ok = false;
@@ -970,34 +988,35 @@
         return;
     }
     if (f->source) {
-        ask_entries(f, now_ms, f->source, true);
+        request_entries(f, now_ms, f->source, true);
     }
     g_free(f->source);
     f->source = g_strdup(name);
     if (name) {
-        ask_entries(f, now_ms, name, false);
+        request_entries(f, now_ms, name, false);
     }
 }
 
-/* Remember since when somebody is ahead of this process. */
+/* Track since when a live peer is ahead of this process. */
 static void
-watch_lag(Feed *f, uint64_t now_ms)
+update_lag(Feed *f, uint64_t now_ms)
 {
     uint64_t mine = fold_get_offset(f->fold);
     const Peer *top = find_highest(f, now_ms);
     bool behind = top && top->applied > mine;
     if (!behind) {
-        f->behind_ms = 0;
+        f->behind_since_ms = 0;
     }
-    else if (!f->behind_ms) {
-        f->behind_ms = now_ms;
+    else if (!f->behind_since_ms) {
+        f->behind_since_ms = now_ms;
     }
 }
 
 static bool
-lags(const Feed *f, uint64_t now_ms)
+is_lagging(const Feed *f, uint64_t now_ms)
 {
-    return f->behind_ms && now_ms - f->behind_ms > f->params.relay_wait_ms;
+    return f->behind_since_ms &&
+           now_ms - f->behind_since_ms > f->params.relay_wait_ms;
 }
 
 static void
@@ -1005,23 +1024,23 @@
 {
     const Peer *best = find_source(f, now_ms);
     if (best) {
-        f->no_source_ms = 0;
+        f->no_source_since_ms = 0;
     }
-    else if (!f->no_source_ms) {
-        f->no_source_ms = now_ms;
+    else if (!f->no_source_since_ms) {
+        f->no_source_since_ms = now_ms;
     }
-    bool alone =
-        f->no_source_ms && now_ms - f->no_source_ms >= f->params.relay_wait_ms;
-    watch_lag(f, now_ms);
+    bool isolated = f->no_source_since_ms &&
+                    now_ms - f->no_source_since_ms >= f->params.relay_wait_ms;
+    update_lag(f, now_ms);
     set_reading(f, !f->fault && (!f->has_state || feed_is_reader(f, now_ms) ||
-                                 alone || lags(f, now_ms)));
+                                 isolated || is_lagging(f, now_ms)));
     bool direct = reads_log(f, now_ms) && !f->was_reset;
-    set_source(f, now_ms, direct && !lags(f, now_ms) ? NULL : best);
-    const Peer *ahead =
-        lags(f, now_ms) ? find_highest(f, now_ms) : find_peer(f, f->source);
+    set_source(f, now_ms, direct && !is_lagging(f, now_ms) ? NULL : best);
+    const Peer *ahead = is_lagging(f, now_ms) ? find_highest(f, now_ms)
+                                              : find_peer(f, f->source);
     if (ahead && ahead->applied > fold_get_offset(f->fold) &&
-        now_ms - f->fetch_ms > FETCH_AGAIN_MS) {
-        ask_entries(f, now_ms, ahead->name, false);
+        now_ms - f->fetch_ms > ENTRIES_RETRY_MS) {
+        request_entries(f, now_ms, ahead->name, false);
     }
 }
 
@@ -1031,7 +1050,7 @@
     if (f->fault || f->phase != PHASE_FOLLOW) {
         return 0;
     }
-    if (f->reading && f->log_ok && !f->was_reset) {
+    if (f->read_offset && f->log_ok && !f->was_reset) {
         return 1;
     }
     const Peer *p = find_peer(f, f->source);
@@ -1040,7 +1059,7 @@
 
 /* ---- checkpoints -------------------------------------------------------- */
 
-/* The oldest offset the log keeps, as this process or its source saw it. */
+/* The oldest offset in the log, as last seen by this process or its source. */
 static uint64_t
 get_log_first(const Feed *f)
 {
@@ -1048,10 +1067,10 @@
     return MAX(f->log_first, p ? p->log_first : 0);
 }
 
-/* Records that the state rests on are no longer in the log, and no whole
-   checkpoint stands for them. */
+/* Whether the log no longer holds all records of the state, nor a complete
+   checkpoint that replaces them. */
 static bool
-is_exposed(const Feed *f)
+lacks_checkpoint(const Feed *f)
 {
     const FoldCheckpoint *c = fold_get_checkpoint(f->fold);
     uint64_t first = get_log_first(f);
@@ -1059,18 +1078,18 @@
            (!c || c->first_offset < first);
 }
 
-/* Retention takes the tail by age, so a checkpoint is due again after a
-   while even if nothing came. */
+/* Retention removes old entries by age, so a checkpoint is due again after
+   checkpoint_ms even without new entries. */
 static bool
 is_due(const Feed *f, uint64_t now_ms)
 {
-    return is_exposed(f) ||
+    return lacks_checkpoint(f) ||
            fold_count_entries_since(f->fold) >= f->params.checkpoint_entries ||
            now_ms - f->checkpoint_ms >= f->params.checkpoint_ms;
 }
 
-/* One placer of each data centre may write: the lowest name among those
-   that read the log. */
+/* In each data centre one placer writes checkpoints: of those that read the
+   log, the one whose name sorts first. */
 static bool
 may_write(const Feed *f, uint64_t now_ms)
 {
@@ -1101,64 +1120,69 @@
     for (guint i = 0; i < records->len; i++) {
         f->out.append(f->out.ctx, records->pdata[i]);
     }
-    f->due_ms = now_ms + WRITE_HOLD_OFF_MS;
+    f->write_at_ms = now_ms + CHECKPOINT_HOLD_OFF_MS;
     bg_count("feed_checkpoints_total", 1);
-    bg_log(BG_INFO, "feed", "Checkpoint of offset %llu: %u chunks.",
+    bg_log(BG_INFO, "feed", "Writing checkpoint of offset %llu, %u chunks.",
            (unsigned long long)fold_get_offset(f->fold), records->len);
 }
 
 static void
-keep_checkpoints(Feed *f, uint64_t now_ms)
+maintain_checkpoints(Feed *f, uint64_t now_ms)
 {
     const FoldCheckpoint *c = fold_get_checkpoint(f->fold);
-    if (c && c->covered != f->checkpoint_seen) {
-        f->checkpoint_seen = c->covered;
+    if (c && c->covered != f->checkpoint_covered) {
+        f->checkpoint_covered = c->covered;
         f->checkpoint_ms = now_ms;
-        f->due_ms = 0;
+        f->write_at_ms = 0;
     }
     if (!is_due(f, now_ms) || !may_write(f, now_ms)) {
         return;
     }
-    if (!f->due_ms) {
-        /* Writers of other data centres see it due at the same moment. */
-        uint32_t spread_ms = is_exposed(f) ? SPREAD_MS / 4 : SPREAD_MS;
-        f->due_ms = now_ms + 1 + bg_pick_random(&f->rng, spread_ms);
+    if (!f->write_at_ms) {
+        /* Random delay: writers of other data centres find it due at the same
+           time. */
+        uint32_t spread_ms = lacks_checkpoint(f) ? CHECKPOINT_JITTER_MS / 4
+                                                 : CHECKPOINT_JITTER_MS;
+        f->write_at_ms = now_ms + 1 + bg_pick_random(&f->rng, spread_ms);
     }
-    else if (now_ms >= f->due_ms) {
+    else if (now_ms >= f->write_at_ms) {
         if (fold_has_pending_checkpoint(f->fold) &&
-            f->due_ms + WRITE_HOLD_OFF_MS > now_ms) {
+            f->write_at_ms + CHECKPOINT_HOLD_OFF_MS > now_ms) {
             return;
         }
         write_checkpoint(f, now_ms);
     }
 }
 
-/* After an outage longer than retention the state lives in processes only.
-   The checkpoint goes first, so that a process which starts then never
-   meets a log with records and no state under them.  Bounded: records are
-   not held for ever when nobody writes one. */
+/* After an outage longer than the log's retention only the processes still
+   hold the state.  Other appends are held until a checkpoint is written, so
+   that a process which starts then never finds a log with records but without
+   the state that they build on.  The hold is bounded by MAX_APPEND_HOLD_MS in
+   case no process writes a checkpoint. */
 static void
 gate_appends(Feed *f, uint64_t now_ms)
 {
-    bool wait = f->has_state && is_exposed(f);
+    bool wait = f->has_state && lacks_checkpoint(f);
     if (!wait) {
-        f->hold_ms = 0;
+        f->hold_since_ms = 0;
     }
-    else if (!f->hold_ms) {
-        f->hold_ms = now_ms;
+    else if (!f->hold_since_ms) {
+        f->hold_since_ms = now_ms;
     }
-    bool open = feed_get_hops(f) > 0 && f->has_state &&
-                (!wait || now_ms - f->hold_ms > APPEND_HOLD_MS);
-    if (open != f->open) {
-        f->open = open;
-        f->out.open_appends(f->out.ctx, open);
+    bool appends_open =
+        feed_get_hops(f) > 0 && f->has_state &&
+        (!wait || now_ms - f->hold_since_ms > MAX_APPEND_HOLD_MS);
+    if (appends_open != f->appends_open) {
+        f->appends_open = appends_open;
+        f->out.open_appends(f->out.ctx, appends_open);
     }
 }
 
 /* ---- frames and links --------------------------------------------------- */
 
-/* Two processes at one offset that applied different entries: one of them
-   read a damaged log.  Which one can't be told here; operators can. */
+/* Detects a peer that applied different entries up to the same offset: one of
+   the two read a damaged log.  Which one can't be determined here; operators
+   have to find out. */
 static void
 compare_chain(const Feed *f, Peer *p, const Bg__Heartbeat *hb)
 {
@@ -1167,8 +1191,9 @@
                    hb->chain != fold_get_chain(f->fold);
     if (differs && !p->differs) {
         bg_count("feed_differing_peers_total", 1);
-        bg_log(BG_FAULT, "feed", "%s applied other entries up to %llu.",
-               p->name, (unsigned long long)hb->applied_offset);
+        bg_log(BG_FAULT, "feed",
+               "%s applied different entries up to offset %llu.", p->name,
+               (unsigned long long)hb->applied_offset);
     }
     p->differs = differs;
 }
@@ -1176,10 +1201,10 @@
 static void
 take_heartbeat(Peer *p, uint64_t now_ms, const Bg__Heartbeat *hb)
 {
-    p->beat_ms = now_ms;
+    p->heartbeat_ms = now_ms;
     p->applied = hb->ready ? hb->applied_offset : 0;
     p->hops = hb->log_hops;
-    p->root = hb->log_root;
+    p->reader_hash = hb->log_root;
     p->log_first = hb->log_first;
     p->log_next = hb->log_next;
     p->held = hb->held;
@@ -1222,7 +1247,7 @@
     if (up && !p) {
         p = g_new0(Peer, 1);
         p->name = g_strdup(info->node);
-        p->id = make_id(info->node);
+        p->name_hash = hash_name(info->node);
         p->data_centre = g_strdup(info->data_centre);
         p->placer = strcmp(info->role, "placer") == 0;
         g_hash_table_insert(f->peers, p->name, p);
@@ -1243,10 +1268,10 @@
 /* ---- time --------------------------------------------------------------- */
 
 static void
-begin(Feed *f, uint64_t now_ms)
+start_reading(Feed *f, uint64_t now_ms)
 {
     f->start_ms = f->checkpoint_ms = now_ms;
-    f->reading = 1;
+    f->read_offset = 1;
     f->out.read_from(f->out.ctx, 1);
 }
 
@@ -1254,7 +1279,7 @@
 feed_on_tick(Feed *f, uint64_t now_ms)
 {
     if (!f->start_ms) {
-        begin(f, now_ms);
+        start_reading(f, now_ms);
     }
     if (f->phase == PHASE_START) {
         decide_start(f, now_ms);
@@ -1266,7 +1291,7 @@
         f->has_state = f->has_state ||
                        fold_get_offset(f->fold) + 1 >= f->target || f->fault;
         choose_source(f, now_ms);
-        keep_checkpoints(f, now_ms);
+        maintain_checkpoints(f, now_ms);
     }
     if (f->fetch.wanted && !f->fault) {
         start_fetch(f, now_ms);
@@ -1277,7 +1302,7 @@
     gate_appends(f, now_ms);
 }
 
-/* ---- what others ask ---------------------------------------------------- */
+/* ---- queries ------------------------------------------------------------ */
 
 bool
 feed_has_state(const Feed *f)
@@ -1289,9 +1314,9 @@
 feed_is_caught_up(const Feed *f)
 {
     const Peer *p = find_peer(f, f->source);
-    uint64_t next = f->reading && f->log_ok ? f->log_next
-                    : p                     ? p->log_next
-                                            : UINT64_MAX;
+    uint64_t next = f->read_offset && f->log_ok ? f->log_next
+                    : p                         ? p->log_next
+                                                : UINT64_MAX;
     return f->has_state && feed_get_hops(f) > 0 &&
            fold_get_offset(f->fold) + 1 >= next;
 }
@@ -1313,10 +1338,12 @@
     hb->log_hops = feed_get_hops(f);
     hb->log_first = get_log_first(f);
     const Peer *p = find_peer(f, f->source);
-    hb->log_root = hb->log_hops == 1 ? make_id(f->params.node)
-                   : p               ? p->root
+    hb->log_root = hb->log_hops == 1 ? hash_name(f->params.node)
+                   : p               ? p->reader_hash
                                      : 0;
-    hb->log_next = f->reading && f->log_ok ? f->log_next : p ? p->log_next : 0;
+    hb->log_next = f->read_offset && f->log_ok ? f->log_next
+                   : p                         ? p->log_next
+                                               : 0;
     hb->held = f->fault != NULL;
     hb->ready = f->has_state;
     hb->chain = fold_get_chain(f->fold);
--- a/tests/script_feed.c
+++ b/tests/script_feed.c
@@ -158,7 +158,7 @@
         return;
     }
     if (w->down) {
-        feed_on_away(b->feed, w->now_ms);
+        feed_on_unreachable(b->feed, w->now_ms);
     }
     else if (from < w->first) {
         feed_on_trimmed(b->feed, w->now_ms, w->first, get_next(w));
--- a/tests/test_checkpoint.py
+++ b/tests/test_checkpoint.py
@@ -240,7 +240,7 @@
         c.wait_in_force(version)
         wait_same(c)
         text = c.procs["dc1-vm1-placer"].read_log()
-        assert "Entry %d is refused whole" % at in text
+        assert "Entry %d is skipped" % at in text
 
 
 @pytest.mark.parametrize("fault", ["damage", "shuffle"])
