--- a/src/node.c
+++ b/src/node.c
@@ -22,8 +22,8 @@
 #define APPEND_GIVE_UP_MS 60000
 #define STOP_APPEND_MS 3000
 #define EXIT_BAD_SETTINGS 2
-#define ASKED_MS 10000 /* others are asked for so long after a request */
-#define FETCH_MS 300
+#define STATUS_INTEREST_MS 10000 /* peers are queried after a request */
+#define STATUS_FETCH_MS 300
 
 static const IniRule common_rules[] = {
     {"node", "name", INI_TEXT, true, NULL, 0, 0, NULL, "name of this VM"},
@@ -70,9 +70,9 @@
     {NULL, NULL, INI_TEXT, false, NULL, 0, 0, NULL, NULL}};
 
 typedef enum {
-    EV_PAGE,    /* one read of the log */
-    EV_TRIMMED, /* the log no longer keeps what was asked for */
-    EV_AWAY,    /* a read failed */
+    EV_PAGE,        /* a read of the log succeeded */
+    EV_TRIMMED,     /* the log no longer keeps the offset read */
+    EV_UNREACHABLE, /* a read failed: the log is unreachable */
     EV_FRAME,
     EV_LINK,
     EV_ROLE,
@@ -81,11 +81,11 @@
     EV_DRAIN
 } EventKind;
 
-/* What one thread hands to the core thread. */
+/* An event posted to the core thread. */
 typedef struct {
     EventKind kind;
-    uint64_t offset; /* PAGE: asked for; TRIMMED: first */
-    uint64_t next;   /* TRIMMED */
+    uint64_t offset; /* PAGE: of the read; TRIMMED: first one in the log */
+    uint64_t next;   /* TRIMMED: the log's next offset */
     LogPage *page;
     bool up; /* LINK */
     char *node;
@@ -93,27 +93,27 @@
     char *role;
     Bg__Frame *frame;
     void *role_event;
-    struct DumpCall *dump;
+    struct CoreCall *dump;
 } Event;
 
-/* An HTTP thread waits for the core thread's answer. */
-typedef struct DumpCall {
+/* A request of an HTTP thread that waits for the core thread's answer. */
+typedef struct CoreCall {
     pthread_mutex_t lock;
     pthread_cond_t done;
     char *text;
-} DumpCall;
+} CoreCall;
 
 struct Node {
     NodeRole *role;
     IniFile *settings;
-    IniRule *rules; /* common and role's, joined */
+    IniRule *rules; /* the common ones and the role's */
     char *name;
     Ring *ring;
     Fold *fold;
     Feed *feed;
     Roster *roster;
-    uint64_t asked_ms;      /* last time somebody wanted the status */
-    uint64_t next_fetch_ms; /* of the status of others */
+    uint64_t status_asked_ms; /* last request for /status; 0: none */
+    uint64_t next_status_fetch_ms;
     LogClient *log;
     PeerNet *peers;
     struct mg_context *http;
@@ -129,9 +129,9 @@
     atomic_bool has_config; /* a version is in force */
     CfgSet *config;         /* RCU-protected pointer */
     uint64_t config_version;
-    bool config_set;      /* the fold's set was put in force */
-    pthread_mutex_t lock; /* the two below, for other threads */
-    Bg__Heartbeat beat;
+    bool config_published; /* the fold's set was put in force */
+    pthread_mutex_t lock;  /* guards the two below */
+    Bg__Heartbeat own_heartbeat;
     char *state_line;
 };
 
@@ -232,8 +232,8 @@
           const Bg__Frame *frame)
 {
     peer_send(n->peers, node, data_centre, role, frame);
-    /* What is loaded here reaches routers of other data centres over the
-       bridges, which may end at any placer. */
+    /* Residency reaches the routers of other data centres over the bridges
+       (links between data centres), which may end at any placer. */
     if (frame->body_case == BG__FRAME__BODY_RESIDENCY && !node) {
         peer_send(n->peers, NULL, data_centre, "placer", frame);
     }
@@ -256,9 +256,9 @@
 }
 
 static void
-take_away(void *ctx)
+take_unreachable(void *ctx)
 {
-    Event e = {.kind = EV_AWAY};
+    Event e = {.kind = EV_UNREACHABLE};
     post_event_wait(ctx, &e);
 }
 
@@ -290,7 +290,8 @@
     Event e = make_peer_event(EV_FRAME, from);
     e.frame = frame;
     if (!post_event(ctx, &e)) {
-        /* The core is behind.  State is sent again, so a frame may go. */
+        /* The core thread is behind.  Peers send their state again, so a
+           frame may be dropped. */
         bg_count("node_frames_dropped_total", 1);
         free_event_parts(&e);
     }
@@ -322,7 +323,7 @@
     Node *n = ctx;
     uint64_t seq = hb->seq;
     pthread_mutex_lock(&n->lock);
-    *hb = n->beat;
+    *hb = n->own_heartbeat;
     pthread_mutex_unlock(&n->lock);
     hb->seq = seq;
     hb->owner = atomic_load(&n->owner);
@@ -337,7 +338,7 @@
     Node *n = ctx;
     (void)batch_id;
     if (result == FOLD_INVALID) {
-        bg_log(BG_WARN, "fold", "Record at %llu is refused: %s.",
+        bg_log(BG_WARN, "fold", "Record at offset %llu is invalid: %s.",
                (unsigned long long)offset, why);
     }
     if (n->role->on_record) {
@@ -345,8 +346,8 @@
     }
 }
 
-/* Readers that hold the old set keep their reference; the grace period
-   only covers those between reading the pointer and taking theirs. */
+/* Readers of the old set hold a reference to it.  The RCU grace period only
+   covers readers between the load of the pointer and cfg_ref. */
 static void
 publish_config(Node *n)
 {
@@ -363,8 +364,8 @@
     }
 }
 
-/* Put the fold's set in force once it is whole: while a starting process
-   still reads on, an old version would come back to callers. */
+/* Publish the fold's configuration if it changed, but not before the state has
+   caught up: a starting process would serve an old version meanwhile. */
 static void
 follow_config(Node *n)
 {
@@ -372,39 +373,41 @@
         return;
     }
     CfgSet *cfg = fold_get_config(n->fold);
-    if (!n->config_set || cfg_get_version(cfg) != n->config_version) {
-        n->config_set = true;
+    if (!n->config_published || cfg_get_version(cfg) != n->config_version) {
+        n->config_published = true;
         publish_config(n);
     }
     cfg_unref(cfg);
 }
 
-/* What other threads show of this process. */
+/* Publish the heartbeat and the state line for other threads. */
 static void
-note_state(Node *n)
+publish_state(Node *n)
 {
-    Bg__Heartbeat beat = BG__HEARTBEAT__INIT;
-    feed_fill_heartbeat(n->feed, &beat);
-    beat.config_version = n->config_version;
-    roster_set_self(n->roster, &beat);
+    Bg__Heartbeat own_heartbeat = BG__HEARTBEAT__INIT;
+    feed_fill_heartbeat(n->feed, &own_heartbeat);
+    own_heartbeat.config_version = n->config_version;
+    roster_set_self(n->roster, &own_heartbeat);
     char *line = feed_describe(n->feed);
     pthread_mutex_lock(&n->lock);
-    n->beat = beat;
+    n->own_heartbeat = own_heartbeat;
     char *old = n->state_line;
     n->state_line = line;
     pthread_mutex_unlock(&n->lock);
     g_free(old);
 }
 
-/* While somebody asks for the status: what the linked placers know. */
+/* Fetch the status from the linked placers, for STATUS_INTEREST_MS after the
+   last request for /status. */
 static void
-ask_status(Node *n, uint64_t now_ms)
+fetch_status(Node *n, uint64_t now_ms)
 {
-    if (!n->asked_ms || now_ms - n->asked_ms > ASKED_MS ||
-        now_ms < n->next_fetch_ms) {
+    if (!n->status_asked_ms ||
+        now_ms - n->status_asked_ms > STATUS_INTEREST_MS ||
+        now_ms < n->next_status_fetch_ms) {
         return;
     }
-    n->next_fetch_ms = now_ms + FETCH_MS;
+    n->next_status_fetch_ms = now_ms + STATUS_FETCH_MS;
     Bg__StatusFetch s = BG__STATUS_FETCH__INIT;
     s.relay = true;
     Bg__Frame frame = BG__FRAME__INIT;
@@ -431,10 +434,10 @@
     }
 }
 
-/* Ask the linked placers of other data centres on an asker's behalf; they
-   answer and ask nobody else. */
+/* Forward a status fetch to the linked placers of other data centres; they
+   answer it but do not forward it. */
 static void
-pass_status_fetch(Node *n)
+forward_status_fetch(Node *n)
 {
     Bg__StatusFetch s = BG__STATUS_FETCH__INIT;
     Bg__Frame frame = BG__FRAME__INIT;
@@ -443,10 +446,10 @@
     peer_send_abroad(n->peers, "placer", &frame);
 }
 
-/* Residency crosses at most one bridge: out from a placer of its own data
-   centre, in to the routers of another. */
+/* Forward residency over at most one bridge: a placer of its data centre sends
+   it to placers of others, and these to the routers of theirs. */
 static void
-pass_residency(Node *n, const PeerInfo *from, const Bg__Frame *frame)
+forward_residency(Node *n, const PeerInfo *from, const Bg__Frame *frame)
 {
     const char *of = frame->residency->data_centre;
     if (strcmp(n->role->role, "placer") != 0 ||
@@ -475,11 +478,11 @@
     case BG__FRAME__BODY_STATUS_FETCH:
         answer_status(n, now_ms, from);
         if (frame->status_fetch->relay) {
-            pass_status_fetch(n);
+            forward_status_fetch(n);
         }
         break;
     case BG__FRAME__BODY_RESIDENCY:
-        pass_residency(n, from, frame);
+        forward_residency(n, from, frame);
         break;
     default:
         break;
@@ -492,8 +495,8 @@
     NodeRole *role = n->role;
     feed_on_tick(n->feed, now_ms);
     follow_config(n);
-    note_state(n);
-    ask_status(n, now_ms);
+    publish_state(n);
+    fetch_status(n, now_ms);
     peer_set_bridging(n->peers, strcmp(role->role, "placer") == 0 &&
                                     feed_is_reader(n->feed, now_ms));
     bool usable = feed_get_hops(n->feed) > 0 && !feed_get_fault(n->feed) &&
@@ -546,7 +549,7 @@
 }
 
 static void
-answer_call(DumpCall *call, char *text)
+answer_call(CoreCall *call, char *text)
 {
     pthread_mutex_lock(&call->lock);
     call->text = text;
@@ -567,8 +570,8 @@
     case EV_TRIMMED:
         feed_on_trimmed(n->feed, now_ms, e->offset, e->next);
         break;
-    case EV_AWAY:
-        feed_on_away(n->feed, now_ms);
+    case EV_UNREACHABLE:
+        feed_on_unreachable(n->feed, now_ms);
         break;
     case EV_FRAME:
         take_frame(n, now_ms, &info, e->frame);
@@ -583,7 +586,7 @@
         answer_call(e->dump, make_dump(n));
         break;
     case EV_STATUS:
-        n->asked_ms = now_ms;
+        n->status_asked_ms = now_ms;
         answer_call(e->dump, roster_dump(n->roster, now_ms));
         break;
     case EV_DRAIN:
@@ -643,11 +646,11 @@
     return status;
 }
 
-/* An answer of KIND that the core thread makes. */
+/* Have the core thread handle an event of KIND and send its answer. */
 static int
 send_from_core(Node *n, struct mg_connection *conn, EventKind kind)
 {
-    DumpCall call = {PTHREAD_MUTEX_INITIALIZER, PTHREAD_COND_INITIALIZER,
+    CoreCall call = {PTHREAD_MUTEX_INITIALIZER, PTHREAD_COND_INITIALIZER,
                      NULL};
     Event e = {.kind = kind, .dump = &call};
     if (!post_event(n, &e)) {
@@ -683,8 +686,8 @@
     return send_text(conn, up ? 200 : 503, "text/plain", text);
 }
 
-/* Without a configuration nothing is known of any caller: a 401 or 404
-   would be a lie, and no call was run. */
+/* Without a configuration no caller is known, so a 401 or 404 could be wrong.
+   The call was not run. */
 static int
 refuse_without_config(struct mg_connection *conn)
 {
@@ -709,13 +712,13 @@
     if (!*digest || !auth || !g_str_has_prefix(auth, "Bearer ")) {
         return false;
     }
-    /* By digest, so that timing tells nothing of the key. */
+    /* Compares digests, so that timing reveals nothing of the key. */
     const char *key = auth + strlen("Bearer ");
     g_autofree char *hex = bg_digest_hex(key, strlen(key));
     return strcmp(hex, digest) == 0;
 }
 
-/* Callers reach this port too, so a stop needs the operators' key. */
+/* Callers can reach this port too, so a stop requires the operators' key. */
 static int
 take_drain(Node *n, struct mg_connection *conn)
 {
@@ -725,7 +728,7 @@
     if (!is_operator(n, conn)) {
         return send_text(conn, 403, "text/plain", "not allowed\n");
     }
-    bg_log(BG_INFO, "node", "An operator asks for a stop.");
+    bg_log(BG_INFO, "node", "Stop requested by an operator.");
     int status = send_text(conn, 200, "text/plain", "stopping\n");
     kill(getpid(), SIGTERM);
     return status;
@@ -839,7 +842,7 @@
 open_log(Node *n)
 {
     const char *address = ini_get_text(n->settings, "log", "address");
-    LcHandlers on = {take_page, take_trimmed, take_away, n};
+    LcHandlers on = {take_page, take_trimmed, take_unreachable, n};
     LcLimits limits = {(uint32_t)ini_get_int(n->settings, "log", "window_ms"),
                        (uint32_t)ini_get_int(n->settings, "log", "max_queue"),
                        APPEND_GIVE_UP_MS};
@@ -863,7 +866,8 @@
 append_first(void *ctx, Bg__Record *r)
 {
     if (!lc_append_first(((Node *)ctx)->log, r)) {
-        bg_log(BG_WARN, "node", "No room for a checkpoint's records.");
+        bg_log(BG_WARN, "node",
+               "Append queue is full; a checkpoint record is dropped.");
     }
 }
 
@@ -873,9 +877,10 @@
     lc_open_appends(((Node *)ctx)->log, open);
 }
 
-/* An owner that was paused may hold a claim that this state has replaced.
-   Its next order would carry the state's offset, above its successor's
-   number, so the core looks at the claim before any other event. */
+/* The restored state may hold a newer claim than that of an owner that was
+   paused.  The owner's next order would carry the restored offset, which is
+   above its successor's fencing number.  So the role checks its claim here,
+   before any other event. */
 static void
 take_restored(void *ctx)
 {
@@ -934,7 +939,7 @@
     fold_set_observer(n->fold, observe_record, n);
     n->config = fold_get_config(n->fold);
     pthread_mutex_init(&n->lock, NULL);
-    bg__heartbeat__init(&n->beat);
+    bg__heartbeat__init(&n->own_heartbeat);
     open_log(n);
     open_peers(n);
     open_feed(n);
@@ -955,8 +960,8 @@
     return true;
 }
 
-/* Graceful stop: the health check fails first, so that the balancer turns
-   away; then what is in flight is finished. */
+/* Graceful stop: the health check fails first, so that the load balancer sends
+   no new requests; then requests in flight are finished. */
 static void
 drain_node(Node *n)
 {
@@ -967,8 +972,8 @@
     uint64_t until_ms =
         bg_now_ms() + (uint64_t)ini_get_int(n->settings, "node", "drain_ms");
     bg_sleep_ms(2 * TICK_MS);
-    /* The balancer sends on until it has seen the failing health check:
-       those callers get a refusal, not a reset connection. */
+    /* The load balancer sends requests until it has seen the health check
+       fail.  Their callers get a refusal instead of a connection reset. */
     bg_sleep_ms((uint32_t)ini_get_int(n->settings, "node", "drain_notice_ms"));
     while (!atomic_load(&n->drained) && bg_now_ms() < until_ms) {
         bg_sleep_ms(TICK_MS);
@@ -1086,8 +1091,8 @@
     g_autoptr(GError) err = NULL;
     if (!start_node(n, &err)) {
         bg_log(BG_FAULT, "node", "Cannot start: %s.", err->message);
-        /* The role's threads may run already and use what a return would
-           free; nothing was served that needs an orderly end. */
+        /* The role's threads may already run and use what a return would
+           free.  Nothing was served yet, so no cleanup is needed. */
         _exit(EXIT_FAILURE);
     }
     int sig;
