--- a/tests/script_feed.c
+++ b/tests/script_feed.c
@@ -1,23 +1,24 @@
-/* Drives four feeds around one log from a script on standard input; serves
-   scripted tests and the fuzzer.  Feeds 0 and 1 are placers and 2 a router
-   of dc1, 3 is a placer of dc2.
+/* Drives four feeds on one simulated log from a script on standard input, for
+   the scripted tests and test_fuzz_fold.py.  Feeds 0 and 1 are placers and 2 a
+   router of dc1; 3 is a placer of dc2.
 
      append NAME PRIORITY     a new version of template NAME
-     bad KIND                 an entry that no fold takes: garbage, newer
+     bad                      append an entry that does not decode
      trim OFFSET              the log keeps nothing below OFFSET
-     down 0|1                 whether reads and appends fail
+     down 0|1                 1: reads and appends fail
      read I [repeat|reverse|damage|skip]
-                              answer what feed I asks of the log
+                              answer the pending read of feed I
      link I J / unlink I J
      beat I J                 I's heartbeat reaches J
-     deliver I [drop|twice|reverse]   frames waiting for I
+     deliver I [drop|twice|reverse]   the frames queued for I
      tick MS                  time passes for all
-     restart I                I starts anew, with nothing
-     reset                    a new, empty log in the place of this one
+     restart I                I restarts without state
+     reset                    replace the log by a new, empty one
      rounds N                 N times: 100 ms, heartbeats, frames, reads
-     compare I J              whether both have one offset and one state
+     compare I J              their offsets, and whether their states agree
      check                    offset of each; compares all with the log
-     settle                   faults end; rounds of all of it, then check */
+     settle                   end all faults, run rounds until all have caught
+                              up (at most MAX_ROUNDS), then check */
 #include "bg_base.h"
 #include "ckpt.h"
 #include "feed.h"
@@ -30,23 +31,23 @@
 
 #define FEEDS 4
 #define MAX_WORDS 6
-#define ROUNDS 200
+#define MAX_ROUNDS 200
 #define MIN_ROUNDS 30
 #define STEP_MS 100
-#define BEAT_EVERY 2
-#define PAGE 20
+#define HEARTBEAT_ROUNDS 2
+#define PAGE_ENTRIES 20
 
-/* What the log holds, and the state that its entries make. */
+/* An entry of the log. */
 typedef struct {
     uint8_t *data;
     size_t len;
-    uint64_t digest; /* of the state after it */
+    uint64_t digest; /* of the fold's state after it */
 } Entry;
 
 typedef struct {
     int from;
     Bg__Frame *frame;
-} Mail;
+} QueuedFrame;
 
 typedef struct World World;
 
@@ -56,10 +57,10 @@
     char name[8];
     Fold *fold;
     Feed *feed;
-    uint64_t asked;
-    GQueue inbox; /* Mail */
-    uint64_t top; /* highest offset seen of this life */
-} Box;
+    uint64_t read_offset; /* of the pending read; 0: none */
+    GQueue inbox;         /* QueuedFrame */
+    uint64_t top;         /* highest offset since its start */
+} FeedProcess;
 
 struct World {
     GArray *log; /* Entry; offset 1 is index 0 */
@@ -67,9 +68,9 @@
     bool down;
     Fold *reference;
     uint32_t batches;
-    uint32_t spoils;
+    uint32_t damaged_reads;
     uint64_t now_ms;
-    Box boxes[FEEDS];
+    FeedProcess processes[FEEDS];
     bool linked[FEEDS][FEEDS];
 };
 
@@ -110,7 +111,8 @@
 {
     LogPage page = {w->first, get_next(w),
                     g_array_new(FALSE, TRUE, sizeof(LogEntry))};
-    for (uint64_t at = from; at < get_next(w) && at < from + PAGE; at++) {
+    for (uint64_t at = from; at < get_next(w) && at < from + PAGE_ENTRIES;
+         at++) {
         const Entry *e = &g_array_index(w->log, Entry, at - 1);
         LogEntry copy = {at, g_memdup2(e->data, e->len), e->len};
         g_array_append_val(page.entries, copy);
@@ -119,7 +121,7 @@
 }
 
 static void
-spoil_page(World *w, LogPage *page, const char *how)
+inject_read_fault(World *w, LogPage *page, const char *how)
 {
     GArray *a = page->entries;
     if (!how || a->len == 0) {
@@ -127,9 +129,11 @@
     }
     LogEntry *e = &g_array_index(a, LogEntry, 0);
     if (strcmp(how, "damage") == 0) {
-        /* Never the same twice: damage on the way differs each time. */
-        e->data[w->spoils % e->len] ^= (uint8_t)(1 + w->spoils % 255);
-        w->spoils++;
+        /* Differs each time: the feed accepts an entry that does not decode
+           if two reads return the same bytes. */
+        e->data[w->damaged_reads % e->len] ^=
+            (uint8_t)(1 + w->damaged_reads % 255);
+        w->damaged_reads++;
     }
     else if (strcmp(how, "repeat") == 0) {
         LogEntry copy = {e->offset, g_memdup2(e->data, e->len), e->len};
@@ -151,9 +155,9 @@
 }
 
 static void
-read_log(World *w, Box *b, const char *how)
+read_log(World *w, FeedProcess *b, const char *how)
 {
-    uint64_t from = b->asked;
+    uint64_t from = b->read_offset;
     if (!from) {
         return;
     }
@@ -165,8 +169,8 @@
     }
     else {
         LogPage page = make_page(w, from);
-        spoil_page(w, &page, how);
-        b->asked = 0;
+        inject_read_fault(w, &page, how);
+        b->read_offset = 0;
         feed_on_page(b->feed, w->now_ms, from, &page);
         lc_clear_page(&page);
     }
@@ -177,7 +181,7 @@
 static void
 take_read_from(void *ctx, uint64_t offset)
 {
-    ((Box *)ctx)->asked = offset;
+    ((FeedProcess *)ctx)->read_offset = offset;
 }
 
 static Bg__Frame *
@@ -190,24 +194,24 @@
 }
 
 static void
-send_mail(World *w, int from, int to, const Bg__Frame *frame)
+queue_frame(World *w, int from, int to, const Bg__Frame *frame)
 {
     if (!w->linked[from][to]) {
         return;
     }
-    Mail *m = g_new0(Mail, 1);
+    QueuedFrame *m = g_new0(QueuedFrame, 1);
     m->from = from;
     m->frame = copy_frame(frame);
-    g_queue_push_tail(&w->boxes[to].inbox, m);
+    g_queue_push_tail(&w->processes[to].inbox, m);
 }
 
 static void
 take_send(void *ctx, const char *node, const Bg__Frame *frame)
 {
-    Box *b = ctx;
+    FeedProcess *b = ctx;
     for (int i = 0; i < FEEDS; i++) {
-        if (strcmp(b->world->boxes[i].name, node) == 0) {
-            send_mail(b->world, b->id, i, frame);
+        if (strcmp(b->world->processes[i].name, node) == 0) {
+            queue_frame(b->world, b->id, i, frame);
         }
     }
 }
@@ -215,7 +219,7 @@
 static void
 take_append(void *ctx, Bg__Record *r)
 {
-    Box *b = ctx;
+    FeedProcess *b = ctx;
     if (!b->world->down) {
         append_record(b->world, r);
     }
@@ -229,20 +233,20 @@
     (void)open;
 }
 
-/* ---- boxes -------------------------------------------------------------- */
+/* ---- processes ---------------------------------------------------------- */
 
 static void
-free_mail(gpointer p)
+free_frame(gpointer p)
 {
-    Mail *m = p;
+    QueuedFrame *m = p;
     bg__frame__free_unpacked(m->frame, NULL);
     g_free(m);
 }
 
 static void
-start_box(World *w, int i)
+start_process(World *w, int i)
 {
-    Box *b = &w->boxes[i];
+    FeedProcess *b = &w->processes[i];
     b->world = w;
     b->id = i;
     snprintf(b->name, sizeof(b->name), "n%d", i);
@@ -258,22 +262,22 @@
     FeedOutput out = {b,           take_read_from, take_send,
                       take_append, take_open,      NULL};
     b->feed = feed_create(&p, b->fold, &out);
-    b->asked = 0;
+    b->read_offset = 0;
     b->top = 0;
 }
 
 static void
-stop_box(Box *b)
+stop_process(FeedProcess *b)
 {
     feed_destroy(b->feed);
     fold_destroy(b->fold);
-    g_queue_clear_full(&b->inbox, free_mail);
+    g_queue_clear_full(&b->inbox, free_frame);
 }
 
 static PeerInfo
 get_info(const World *w, int i)
 {
-    PeerInfo info = {w->boxes[i].name, centres[i], roles[i]};
+    PeerInfo info = {w->processes[i].name, centres[i], roles[i]};
     return info;
 }
 
@@ -286,47 +290,47 @@
     w->linked[i][j] = w->linked[j][i] = up;
     PeerInfo a = get_info(w, i);
     PeerInfo b = get_info(w, j);
-    feed_on_link(w->boxes[i].feed, w->now_ms, &b, up);
-    feed_on_link(w->boxes[j].feed, w->now_ms, &a, up);
+    feed_on_link(w->processes[i].feed, w->now_ms, &b, up);
+    feed_on_link(w->processes[j].feed, w->now_ms, &a, up);
 }
 
 static void
-send_beat(World *w, int i, int j)
+send_heartbeat(World *w, int i, int j)
 {
     Bg__Heartbeat hb = BG__HEARTBEAT__INIT;
-    hb.node = w->boxes[i].name;
-    feed_fill_heartbeat(w->boxes[i].feed, &hb);
+    hb.node = w->processes[i].name;
+    feed_fill_heartbeat(w->processes[i].feed, &hb);
     Bg__Frame frame = BG__FRAME__INIT;
     frame.body_case = BG__FRAME__BODY_HEARTBEAT;
     frame.heartbeat = &hb;
-    send_mail(w, i, j, &frame);
+    queue_frame(w, i, j, &frame);
 }
 
 static void
-deliver_one(World *w, int i, Mail *m)
+deliver_one(World *w, int i, QueuedFrame *m)
 {
     PeerInfo from = get_info(w, m->from);
-    feed_on_frame(w->boxes[i].feed, w->now_ms, &from, m->frame);
+    feed_on_frame(w->processes[i].feed, w->now_ms, &from, m->frame);
 }
 
 static void
 deliver(World *w, int i, const char *how)
 {
-    GQueue *inbox = &w->boxes[i].inbox;
-    /* Answers that come while these are delivered wait for the next time. */
+    GQueue *inbox = &w->processes[i].inbox;
+    /* Frames that are sent during the delivery are left for the next one. */
     guint count = inbox->length;
     if (how && strcmp(how, "reverse") == 0) {
         g_queue_reverse(inbox);
     }
     for (guint k = 0; k < count; k++) {
-        Mail *m = g_queue_pop_head(inbox);
+        QueuedFrame *m = g_queue_pop_head(inbox);
         if (!how || strcmp(how, "drop") != 0) {
             deliver_one(w, i, m);
         }
         if (how && strcmp(how, "twice") == 0) {
             deliver_one(w, i, m);
         }
-        free_mail(m);
+        free_frame(m);
     }
 }
 
@@ -370,7 +374,7 @@
 }
 
 static int
-get_box(const char *word)
+get_process(const char *word)
 {
     int i = atoi(word);
     return i >= 0 && i < FEEDS ? i : 0;
@@ -379,31 +383,31 @@
 static void
 run_read(World *w, char **words)
 {
-    read_log(w, &w->boxes[get_box(words[1])], words[2]);
+    read_log(w, &w->processes[get_process(words[1])], words[2]);
 }
 
 static void
 run_link(World *w, char **words)
 {
-    set_link(w, get_box(words[1]), get_box(words[2]), true);
+    set_link(w, get_process(words[1]), get_process(words[2]), true);
 }
 
 static void
 run_unlink(World *w, char **words)
 {
-    set_link(w, get_box(words[1]), get_box(words[2]), false);
+    set_link(w, get_process(words[1]), get_process(words[2]), false);
 }
 
 static void
-run_beat(World *w, char **words)
+run_heartbeat(World *w, char **words)
 {
-    send_beat(w, get_box(words[1]), get_box(words[2]));
+    send_heartbeat(w, get_process(words[1]), get_process(words[2]));
 }
 
 static void
 run_deliver(World *w, char **words)
 {
-    deliver(w, get_box(words[1]), words[2]);
+    deliver(w, get_process(words[1]), words[2]);
 }
 
 static void
@@ -411,7 +415,7 @@
 {
     w->now_ms += wait_ms;
     for (int i = 0; i < FEEDS; i++) {
-        feed_on_tick(w->boxes[i].feed, w->now_ms);
+        feed_on_tick(w->processes[i].feed, w->now_ms);
     }
 }
 
@@ -424,34 +428,34 @@
 static void
 run_restart(World *w, char **words)
 {
-    int i = get_box(words[1]);
+    int i = get_process(words[1]);
     for (int j = 0; j < FEEDS; j++) {
         set_link(w, i, j, false);
     }
-    stop_box(&w->boxes[i]);
-    start_box(w, i);
+    stop_process(&w->processes[i]);
+    start_process(w, i);
 }
 
-/* The invariant: what a feed holds at an offset is what the log's entries
-   up to there make, and the offset never steps back. */
+/* The invariant: the state of a feed at an offset is the one that the log's
+   entries up to that offset give, and the offset never goes back. */
 static void
-check_box(World *w, Box *b)
+check_process(World *w, FeedProcess *b)
 {
     uint64_t offset = fold_get_offset(b->fold);
-    const char *verdict = "ok";
+    const char *result = "ok";
     if (offset < b->top) {
-        verdict = "STEPPED BACK";
+        result = "STEPPED BACK";
     }
     else if (offset > w->log->len) {
-        verdict = "AHEAD OF THE LOG";
+        result = "AHEAD OF THE LOG";
     }
     else if (offset > 0 && g_array_index(w->log, Entry, offset - 1).digest !=
                                fold_digest(b->fold)) {
-        verdict = "DIFFERS";
+        result = "DIFFERS";
     }
     b->top = MAX(b->top, offset);
     printf(" %llu%s:%s", (unsigned long long)offset,
-           feed_has_state(b->feed) ? "" : "-", verdict);
+           feed_has_state(b->feed) ? "" : "-", result);
 }
 
 static void
@@ -460,7 +464,7 @@
     (void)words;
     printf("%llu", (unsigned long long)w->log->len);
     for (int i = 0; i < FEEDS; i++) {
-        check_box(w, &w->boxes[i]);
+        check_process(w, &w->processes[i]);
     }
     puts("");
 }
@@ -470,13 +474,13 @@
 {
     pass_time(w, STEP_MS);
     for (int i = 0; i < FEEDS; i++) {
-        for (int j = 0; j < FEEDS && round % BEAT_EVERY == 0; j++) {
-            send_beat(w, i, j);
+        for (int j = 0; j < FEEDS && round % HEARTBEAT_ROUNDS == 0; j++) {
+            send_heartbeat(w, i, j);
         }
     }
     for (int i = 0; i < FEEDS; i++) {
         deliver(w, i, NULL);
-        read_log(w, &w->boxes[i], NULL);
+        read_log(w, &w->processes[i], NULL);
     }
 }
 
@@ -505,18 +509,18 @@
 static void
 run_compare(World *w, char **words)
 {
-    const Fold *a = w->boxes[get_box(words[1])].fold;
-    const Fold *b = w->boxes[get_box(words[2])].fold;
+    const Fold *a = w->processes[get_process(words[1])].fold;
+    const Fold *b = w->processes[get_process(words[2])].fold;
     printf("%llu %llu %s\n", (unsigned long long)fold_get_offset(a),
            (unsigned long long)fold_get_offset(b),
            fold_digest(a) == fold_digest(b) ? "same" : "differ");
 }
 
 static bool
-is_level(const World *w)
+is_caught_up(const World *w)
 {
     for (int i = 0; i < FEEDS; i++) {
-        if (fold_get_offset(w->boxes[i].fold) < w->log->len) {
+        if (fold_get_offset(w->processes[i].fold) < w->log->len) {
             return false;
         }
     }
@@ -532,9 +536,9 @@
             set_link(w, i, j, true);
         }
     }
-    for (int round = 0; round < ROUNDS; round++) {
+    for (int round = 0; round < MAX_ROUNDS; round++) {
         run_round(w, round);
-        if (round >= MIN_ROUNDS && is_level(w)) {
+        if (round >= MIN_ROUNDS && is_caught_up(w)) {
             break;
         }
     }
@@ -551,7 +555,7 @@
     {"append", 3, run_append},   {"bad", 1, run_bad},
     {"trim", 2, run_trim},       {"down", 2, run_down},
     {"read", 2, run_read},       {"link", 3, run_link},
-    {"unlink", 3, run_unlink},   {"beat", 3, run_beat},
+    {"unlink", 3, run_unlink},   {"beat", 3, run_heartbeat},
     {"deliver", 2, run_deliver}, {"tick", 2, run_tick},
     {"restart", 2, run_restart}, {"check", 1, run_check},
     {"reset", 1, run_reset},     {"rounds", 2, run_rounds},
@@ -584,14 +588,14 @@
                .reference = fold_create(),
                .now_ms = 1000};
     for (int i = 0; i < FEEDS; i++) {
-        start_box(&w, i);
+        start_process(&w, i);
     }
     char line[256];
     while (fgets(line, sizeof(line), stdin)) {
         run_line(&w, line);
     }
     for (int i = 0; i < FEEDS; i++) {
-        stop_box(&w.boxes[i]);
+        stop_process(&w.processes[i]);
     }
     for (guint i = 0; i < w.log->len; i++) {
         g_free(g_array_index(w.log, Entry, i).data);
