--- a/tests/script_append.c
+++ b/tests/script_append.c
@@ -1,8 +1,8 @@
-/* Pushes records through the log client for a while and prints what came of
-   it as JSON; for benches.
+/* Appends records through the log client for SECONDS and prints the
+   throughput and the median delay as JSON; for benchmarks.
 
      script_append IP:PORT SECONDS WINDOW_MS
-   WINDOW_MS -1: one record an append. */
+   WINDOW_MS -1: one record per append. */
 #include "bg_base.h"
 #include "hc.h"
 #include "lc.h"
@@ -21,7 +21,7 @@
     GArray *delays_ms; /* uint64_t, of each append's oldest record */
 } CountingApi;
 
-/* The wall_ms of a batch's first record tells when it was queued. */
+/* The wall_ms of a batch's first record is the time when it was queued. */
 static void
 note_batch(CountingApi *c, const uint8_t *data, size_t len)
 {
@@ -78,7 +78,7 @@
     return x < y ? -1 : x > y;
 }
 
-/* One record an append: each waits for the one before it. */
+/* One record per append, one append at a time. */
 static void
 append_single(CountingApi *c, uint64_t until_ms)
 {
--- a/tests/script_fold.c
+++ b/tests/script_fold.c
@@ -1,28 +1,28 @@
-/* Drives the fold from a script on standard input, one command a line, and
-   prints what became of it.  The same program serves the scripted tests and
-   the fuzzer.
+/* Runs a fold on a script from standard input, one command per line, and
+   prints the result of each record.  For the scripted tests; other tests use
+   "emit" to make batches.
 
      config NAME BASE PRIORITY
      claim CENTRE HOLDER BASE
      grant CENTRE HOLDER BASE UPSTREAM DEPLOYMENT   a claim with a grant
-     grants CENTRE         what may still have been used
+     grants CENTRE         print the grants that were not cleared
      intent CENTRE EPOCH UPSTREAM MODEL MB CAPACITY CEILING LOAD
      fenced CENTRE EPOCH UPSTREAM MODEL MB CAPACITY CEILING LOAD
-                           the same on an upstream that fences
+                           the same on an upstream that checks fencing numbers
      settle CENTRE EPOCH UPSTREAM MODEL LOAD loaded|closed|absent|gone
      quiesce CENTRE EPOCH HOLDER OPEN_UPSTREAM|- OPEN_MODEL|-
      clear CENTRE EPOCH
      key claim|result|release|unknown WORKSPACE KEY ATTEMPT
-     time AUTHOR WALL      of the key and death records that follow
-     fill COUNT            so many claims, printed as one line
+     time AUTHOR WALL      author and clock of later key and death records
+     fill COUNT            COUNT claims of keys, printed as one line
      death DIGIT UPSTREAM|cleared
-     again                 the last batch once more, same id
-     bytes TEXT            an entry that is no batch
-     emit KIND             bytes, in hex, of a batch that no fold takes:
-                           newer, kind, truncated, corrupt or garbage
-     bad KIND              such a batch as the next entry
-     digest                of the whole state
-     reload                the state as bytes and back, into a new fold
+     again                 append the last batch again, with the same id
+     bytes TEXT            append an entry that is not a batch
+     emit KIND             print in hex a batch that a fold rejects: newer,
+                           kind, truncated, corrupt or garbage
+     bad KIND              append such a batch
+     digest                print the digest of the state
+     reload                encode the state and decode it into a new fold
      checkpoint            append the state as a checkpoint
      deaths DIGIT / memory CENTRE UPSTREAM / replicas CENTRE MODEL / state */
 #include "bg_base.h"
@@ -45,7 +45,7 @@
     size_t last_len;
     char author[32];
     uint64_t wall_ms;
-    uint32_t filled; /* claims won by the last fill */
+    uint32_t filled; /* claims of the last fill that took effect */
     bool quiet;
 } Script;
 
@@ -342,7 +342,7 @@
 
 /* A batch with one record of TAG (a kind's number on the wire). */
 static GByteArray *
-make_foreign(uint32_t format, uint8_t tag)
+make_unknown_batch(uint32_t format, uint8_t tag)
 {
     uint8_t wire[] = {0x0a, 0x02, (uint8_t)(tag << 3 | 2), 0x00};
     Bg__RecordList *list = bg__record_list__unpack(NULL, sizeof(wire), wire);
@@ -354,9 +354,9 @@
 static GByteArray *
 make_bad(const char *kind)
 {
-    GByteArray *out = strcmp(kind, "kind") == 0    ? make_foreign(1, 15)
-                      : strcmp(kind, "newer") == 0 ? make_foreign(2, 7)
-                                                   : make_foreign(1, 7);
+    GByteArray *out = strcmp(kind, "kind") == 0    ? make_unknown_batch(1, 15)
+                      : strcmp(kind, "newer") == 0 ? make_unknown_batch(2, 7)
+                                                   : make_unknown_batch(1, 7);
     if (strcmp(kind, "truncated") == 0) {
         g_byte_array_set_size(out, out->len - 3);
     }
--- a/tests/unit_keep.c
+++ b/tests/unit_keep.c
@@ -2,16 +2,16 @@
 
 #include <CUnit/Basic.h>
 
-#define COLD 10.0  /* of one cold start */
-#define IDLE 0.001 /* of an idle millisecond: break-even after 10 s */
+#define COLD_COST 10.0  /* of one cold start */
+#define IDLE_COST 0.001 /* of an idle millisecond: break-even after 10 s */
 
 static void
 test_break_even_until_enough_gaps(void)
 {
     KeepStats s = {0};
-    CU_ASSERT_EQUAL(keep_choose_ms(&s, COLD, IDLE), 10000);
+    CU_ASSERT_EQUAL(keep_choose_ms(&s, COLD_COST, IDLE_COST), 10000);
     keep_add_gap(&s, 500);
-    CU_ASSERT_EQUAL(keep_choose_ms(&s, COLD, IDLE), 10000);
+    CU_ASSERT_EQUAL(keep_choose_ms(&s, COLD_COST, IDLE_COST), 10000);
 }
 
 static void
@@ -21,7 +21,7 @@
     for (int i = 0; i < 20; i++) {
         keep_add_gap(&s, 3000);
     }
-    uint64_t keep_ms = keep_choose_ms(&s, COLD, IDLE);
+    uint64_t keep_ms = keep_choose_ms(&s, COLD_COST, IDLE_COST);
     CU_ASSERT(keep_ms >= 3000 && keep_ms < 4000);
 }
 
@@ -32,11 +32,11 @@
     for (int i = 0; i < 20; i++) {
         keep_add_gap(&s, 600000);
     }
-    CU_ASSERT_EQUAL(keep_choose_ms(&s, COLD, IDLE), 0);
+    CU_ASSERT_EQUAL(keep_choose_ms(&s, COLD_COST, IDLE_COST), 0);
 }
 
-/* Gaps a little past break-even are worth keeping through only while the
-   bound holds. */
+/* Some gaps are just below the break-even point and some far beyond it: the
+   timeout stays within twice the break-even point. */
 static void
 test_bound_is_twice_break_even(void)
 {
@@ -45,7 +45,7 @@
         keep_add_gap(&s, 9000);
         keep_add_gap(&s, 3600000);
     }
-    CU_ASSERT(keep_choose_ms(&s, COLD, IDLE) <= 20000);
+    CU_ASSERT(keep_choose_ms(&s, COLD_COST, IDLE_COST) <= 20000);
 }
 
 static void
@@ -58,7 +58,7 @@
     for (int i = 0; i < 100; i++) {
         keep_add_gap(&s, 2000);
     }
-    uint64_t keep_ms = keep_choose_ms(&s, COLD, IDLE);
+    uint64_t keep_ms = keep_choose_ms(&s, COLD_COST, IDLE_COST);
     CU_ASSERT(keep_ms >= 2000 && keep_ms < 3000);
 }
 
