--- a/tests/test_fuzz_lim.py
+++ b/tests/test_fuzz_lim.py
@@ -1,6 +1,6 @@
-"""Stateful fuzzing of the shared limits: messages between routers are lost,
-doubled and late, routers are replaced, and the shares of all routers never
-add up to more than the limit."""
+"""Stateful fuzzing of the shared limits.  Messages between routers are lost,
+doubled and delayed, and routers restart.  The sum of the shares of all routers
+never exceeds the limit."""
 
 import os
 import subprocess
@@ -23,11 +23,11 @@
             stdout=subprocess.PIPE, text=True)
         self.now = 1000
         self.held = [0] * ROUTERS
-        self.tell("routers %d %d %d %d %d" % (ROUTERS, LEASE_MS, *LIMITS))
+        self.command("routers %d %d %d %d %d" % (ROUTERS, LEASE_MS, *LIMITS))
         # Nothing is lent in a router's first lease.
         self.wait(3000)
 
-    def tell(self, line, answers=False):
+    def command(self, line, answers=False):
         self.proc.stdin.write(line + "\n")
         self.proc.stdin.flush()
         return self.proc.stdout.readline().split() if answers else None
@@ -35,7 +35,7 @@
     @rule(router=st.integers(0, ROUTERS - 1), count=st.integers(1, 12))
     def take(self, router, count):
         for _ in range(count):
-            answer = self.tell("take %d 100" % router, True)
+            answer = self.command("take %d 100" % router, True)
             self.held[router] += answer == ["taken"]
             if answer[0] == "refused":
                 assert int(answer[1]) >= 1000
@@ -44,25 +44,25 @@
     def give(self, router, used):
         if self.held[router]:
             self.held[router] -= 1
-            self.tell("give %d 100 %d" % (router, used))
+            self.command("give %d 100 %d" % (router, used))
 
     @rule(what=st.sampled_from(("deliver", "deliver", "deliver", "double",
                                 "drop")), which=st.integers(0, 50))
     def message(self, what, which):
-        self.tell("%s %d" % (what, which))
+        self.command("%s %d" % (what, which))
 
     @rule(step=st.sampled_from((10, 100, 400, 1500)))
     def wait(self, step):
         self.now += step
-        self.tell("at %d" % self.now)
+        self.command("at %d" % self.now)
 
     @rule(router=st.integers(0, ROUTERS - 1),
           heard=st.sampled_from((0, 300, 700)),
           answered=st.sampled_from((0, 300, 700)),
           lost=st.integers(0, 3))
     def borrow(self, router, heard, answered, lost):
-        """A busy router asks; asks and loans take their time, and some of
-        the loans are lost."""
+        """A busy router asks for more; requests and loans are delayed, and
+        some of the loans are lost."""
         self.take(router, 12)
         self.wait(heard)
         for _ in range(ROUTERS - 1):
@@ -73,12 +73,12 @@
 
     @rule(router=st.integers(0, ROUTERS - 1))
     def restart(self, router):
-        self.tell("restart %d" % router)
+        self.command("restart %d" % router)
         self.held[router] = 0
 
     @invariant()
     def shares_fit_the_limit(self):
-        sums = [int(n) for n in self.tell("shares", True)]
+        sums = [int(n) for n in self.command("shares", True)]
         for total, limit in zip(sums, LIMITS):
             assert total <= limit * 1000, sums
 
--- a/tests/test_fuzz_once.py
+++ b/tests/test_fuzz_once.py
@@ -1,6 +1,7 @@
-"""Several at-most-once cores over one log, in any order of events, against
-an oracle that knows only: a key runs at most once, a call gets one final
-answer, "not run" is true, a replay is what the run answered."""
+"""Stateful fuzzing of several at-most-once cores on one log, with events in
+any order.  The oracle: a key runs at most once; a call gets one final answer;
+a call that is answered as not run was not run; a replayed answer is the one
+that the run gave."""
 
 import os
 import subprocess
@@ -25,8 +26,8 @@
             stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         self.calls = {}    # id -> (router, key)
         self.decided = {}  # id -> verdict
-        self.held = {}     # id -> router: told to run, nothing sent
-        self.out = {}      # id -> router: bytes are out
+        self.held = {}     # id -> router: may run, nothing sent yet
+        self.out = {}      # id -> router: sent, no result yet
         self.ran = {}      # key -> ids that ran
         self.status = {}   # id -> status of the service's answer
         self.clock_ms = 0
@@ -44,7 +45,7 @@
         self.proc.stdout.close()
         self.proc.wait()
 
-    def tell(self, *words):
+    def command(self, *words):
         self.proc.stdin.write(" ".join(map(str, words)) + "\n")
         self.proc.stdin.flush()
         lines = []
@@ -78,19 +79,19 @@
 
     @rule(router=ROUTERS, key=KEYS, body=BODIES)
     def begin(self, router, key, body):
-        self.tell("begin", router, key, body)
+        self.command("begin", router, key, body)
 
     @rule(router=ROUTERS, body=BODIES, end=st.sampled_from(
         ["answered", "broken", "refused", "open", "held"]))
     def whole_call(self, router, body, end):
-        """A call without disturbance, up to its ending."""
-        self.tell("begin", router, "k1", body)
+        """A call without faults, up to the given result."""
+        self.command("begin", router, "k1", body)
         ident = max(self.calls)
         self.append_and_read(router)
         if ident not in self.held or end == "held":
             return
         if end == "refused":
-            self.tell("refused", self.held.pop(ident), ident)
+            self.command("refused", self.held.pop(ident), ident)
             return
         self.run_call(ident)
         if end != "open":
@@ -98,7 +99,7 @@
             self.append_and_read(router)
 
     def run_call(self, ident):
-        self.tell("sent", self.held[ident], ident)
+        self.command("sent", self.held[ident], ident)
         self.out[ident] = self.held.pop(ident)
         self.ran.setdefault(self.calls[ident][1], []).append(ident)
 
@@ -106,26 +107,26 @@
         router = self.out.pop(ident)
         if answered:
             self.status[ident] = 200 + ident
-            self.tell("answered", router, ident, 200 + ident)
+            self.command("answered", router, ident, 200 + ident)
         else:
-            self.tell("broken", router, ident)
+            self.command("broken", router, ident)
 
     @precondition(lambda self: self.held)
     @rule(data=st.data(), runs=st.booleans())
     def send(self, data, runs):
-        """Bytes leave; the service runs the call or turns it away."""
+        """The call is sent; the service runs or rejects it."""
         ident = data.draw(st.sampled_from(sorted(self.held)))
         if runs:
             self.run_call(ident)
         else:
-            self.tell("sent", self.held[ident], ident)
-            self.tell("unsent", self.held[ident], ident)
+            self.command("sent", self.held[ident], ident)
+            self.command("unsent", self.held[ident], ident)
 
     @precondition(lambda self: self.held)
     @rule(data=st.data())
     def refuse(self, data):
         ident = data.draw(st.sampled_from(sorted(self.held)))
-        self.tell("refused", self.held.pop(ident), ident)
+        self.command("refused", self.held.pop(ident), ident)
 
     @precondition(lambda self: self.out)
     @rule(data=st.data(), answered=st.booleans())
@@ -139,48 +140,48 @@
         ["flush", "flush", "flush", "lost", "hold", "drop"]))
     def append(self, router, how):
         words = ("flush", router, "lost") if how == "lost" else (how, router)
-        self.tell(*words)
+        self.command(*words)
 
     @rule(how=st.sampled_from(["arrive", "again"]))
     def arrive(self, how):
-        self.tell(how)
+        self.command(how)
 
     @rule(router=ROUTERS)
     def append_and_read(self, router):
-        self.tell("flush", router)
-        self.tell("deliver", router, 100)
+        self.command("flush", router)
+        self.command("deliver", router, 100)
 
     @rule(readers=st.sets(ROUTERS))
     def append_all(self, readers):
-        """Everybody appends, in turn; not everybody reads."""
+        """All routers append in turn; only some read."""
         for router in range(3):
-            self.tell("flush", router)
+            self.command("flush", router)
         for router in readers:
-            self.tell("deliver", router, 100)
+            self.command("deliver", router, 100)
 
     @rule(router=ROUTERS, count=st.sampled_from([1, 1, 3, 100]))
     def deliver(self, router, count):
-        self.tell("deliver", router, count)
+        self.command("deliver", router, count)
 
     @rule(router=ROUTERS, state=st.sampled_from(["up", "up", "down"]))
     def reach(self, router, state):
-        self.tell("log", router, state)
+        self.command("log", router, state)
 
     # ---- time and death ------------------------------------------------
 
     @rule(wait_ms=st.sampled_from([10, 500, 1100, 9000]))
     def wait(self, wait_ms):
-        self.tell("time", wait_ms)
+        self.command("time", wait_ms)
 
     @rule(router=ROUTERS)
     def tick(self, router):
-        self.tell("tick", router)
+        self.command("tick", router)
 
     @rule(router=ROUTERS)
     def kill(self, router):
-        """A killed router sends nothing more and forgets its calls."""
+        """A killed router sends nothing more and loses its calls."""
         self.killed = True
-        self.tell("kill", router)
+        self.command("kill", router)
         for table in (self.held, self.out):
             for ident in [i for i, r in table.items() if r == router]:
                 del table[ident]
@@ -200,42 +201,42 @@
 
     def end_all(self):
         for ident, router in list(self.held.items()):
-            self.tell("refused", router, ident)
+            self.command("refused", router, ident)
         for ident, router in list(self.out.items()):
-            self.tell("broken", router, ident)
+            self.command("broken", router, ident)
         self.held.clear()
         self.out.clear()
 
     def settle(self):
-        """The log heals: whatever is known then, a repeat hears of it; none
-        stays in progress for ever."""
+        """The log's faults end.  A repeat of a call then gets its known
+        result; no key stays in progress for ever."""
         for _ in range(4):
             self.end_all()
             for router in range(3):
-                self.tell("log", router, "up")
-                self.tell("tick", router)
-                self.tell("flush", router)
-            self.tell("arrive")
+                self.command("log", router, "up")
+                self.command("tick", router)
+                self.command("flush", router)
+            self.command("arrive")
             for router in range(3):
-                self.tell("deliver", router, 1000)
-            self.tell("time", 9000)
+                self.command("deliver", router, 1000)
+            self.command("time", 9000)
         for router in range(3):
-            self.tell("tick", router)
+            self.command("tick", router)
         for key in ("k1", "k2"):
             ident = max(self.calls, default=0) + 1
-            self.tell("begin", 0, key, 1)
-            self.tell("flush", 0)
-            self.tell("deliver", 0, 1000)
+            self.command("begin", 0, key, 1)
+            self.command("flush", 0)
+            self.command("deliver", 0, 1000)
             assert self.decided[ident] != "in-progress"
             if not self.killed and not self.ran.get(key):
                 assert self.decided[ident] == "run", \
                     "it never ran and every router knows"
             if self.decided[ident] == "run":
-                self.tell("refused", 0, ident)
+                self.command("refused", 0, ident)
                 del self.held[ident]
-            self.tell("flush", 0)
+            self.command("flush", 0)
             for router in range(3):
-                self.tell("deliver", router, 1000)
+                self.command("deliver", router, 1000)
 
 
 TestCalls = Calls.TestCase
--- a/tests/test_fuzz_rt.py
+++ b/tests/test_fuzz_rt.py
@@ -1,9 +1,9 @@
-"""Stateful fuzzing of the routing core against an oracle that knows only:
-each request gets one final answer; it is at one upstream at most; "not run"
-is said only of what was never sent or was turned away; a call that may not
-be repeated is not sent again once it may have run; an upstream never holds
-more than its bound; nothing is sent to one that is leaving or gone;
-a suspect of an upstream's death runs alone and takes down two at most."""
+"""Stateful fuzzing of the routing core.  The oracle: each request gets one
+final answer and is at one upstream at most; it is refused as not run only if
+no upstream has run it; a non-idempotent call is not sent again once it may
+have run; an upstream never has more requests than its limit; no request is
+sent to an upstream that is leaving or gone; a request suspected of an
+upstream's death runs alone and causes the death of two upstreams at most."""
 
 import os
 import subprocess
@@ -35,7 +35,7 @@
 
     # ---- the oracle ----------------------------------------------------
 
-    def tell(self, line):
+    def command(self, line):
         self.proc.stdin.write(line + "\n.\n")
         self.proc.stdin.flush()
         while (out := self.proc.stdout.readline()) != ".\n":
@@ -57,13 +57,13 @@
     def check_send(self, ident, where):
         q = self.open[ident]
         assert q["at"] is None, "sent twice at once"
-        assert not (q["once"] and q["ran"]), "a second run"
-        assert where not in self.left, "sent to a leaver"
-        assert where not in self.gone, "sent to one that is gone"
-        assert q["deaths"] < 2, "a third upstream"
+        assert not (q["once"] and q["ran"]), "a non-idempotent call is sent again"
+        assert where not in self.left, "sent to a leaving upstream"
+        assert where not in self.gone, "sent to an upstream that is gone"
+        assert q["deaths"] < 2, "sent again after two deaths"
         beside = [p for p in self.open.values() if p["at"] == where]
         assert not any(p["suspect"] for p in beside + [q] if beside), \
-            "a suspect beside others"
+            "a suspect runs beside others"
         q["at"] = where
         self.inflight[where] = self.inflight.get(where, 0) + 1
         assert self.inflight[where] <= PER_UPSTREAM
@@ -87,7 +87,7 @@
         self.next_id += 1
         self.open[self.next_id] = {"once": once, "at": None, "ran": False,
                                    "suspect": False, "deaths": 0}
-        self.tell("arrive %d %s lm %s %s %d %d %d 1 %d %s" % (
+        self.command("arrive %d %s lm %s %s %d %d %d 1 %d %s" % (
             self.next_id, model, workspace, kind, priority, wait, load,
             affinity, "once" if once else "again"))
 
@@ -106,7 +106,8 @@
     @precondition(lambda self: self.list_sent())
     @rule(data=st.data())
     def die(self, data):
-        """An upstream dies under a request, which may go on elsewhere."""
+        """An upstream dies while it runs a request, which may be retried on
+        another."""
         ident = data.draw(st.sampled_from(self.list_sent()))
         self.finish_send(ident, "broken", "died")
         self.wait(300)
@@ -123,12 +124,12 @@
             q["suspect"] = True
         if end in ("ok", "cancelled"):
             self.end(ident, end)
-        self.tell("done %d %s %s" % (ident, end, mark))
+        self.command("done %d %s %s" % (ident, end, mark))
 
     @precondition(lambda self: self.open)
     @rule(data=st.data())
     def cancel(self, data):
-        self.tell("cancel %d" % data.draw(
+        self.command("cancel %d" % data.draw(
             st.sampled_from(sorted(self.open))))
 
     @rule(name=st.sampled_from(UPSTREAMS), port=st.sampled_from((1, 1, 1, 2)),
@@ -143,50 +144,50 @@
         epoch = self.epoch - 1 if old else self.epoch
         if word == "leaving":
             self.left.add(where)
-        self.tell("state dc1 %d %s %s %s %s 0 %s" % (
+        self.command("state dc1 %d %s %s %s %s 0 %s" % (
             epoch, *where, word, "known" if known else "unknown", models))
 
     @precondition(lambda self: self.open)
     @rule(data=st.data(), quarantined=st.booleans())
     def death(self, data, quarantined):
-        """An equal request has killed an upstream elsewhere."""
+        """An upstream died elsewhere while it ran an identical request."""
         ident = data.draw(st.sampled_from(sorted(self.open)))
         if not self.open[ident]["at"] and not quarantined:
             self.open[ident]["suspect"] = True
-        self.tell("death %d %s" % (ident, "quarantined" if quarantined
-                                   else "suspect"))
+        self.command("death %d %s" % (
+            ident, "quarantined" if quarantined else "suspect"))
 
     @rule(name=st.sampled_from(UPSTREAMS), port=st.sampled_from((1, 2)))
     def left_by_a_peer(self, name, port):
         where = (name, "10.0.0.1:%d" % port)
         self.left.add(where)
-        self.tell("left %s %s" % where)
+        self.command("left %s %s" % where)
 
     @rule()
     def new_epoch(self):
         self.epoch += 1
-        self.tell("state dc1 %d z 10.0.0.3:1 live known 0 -" % self.epoch)
+        self.command("state dc1 %d z 10.0.0.3:1 live known 0 -" % self.epoch)
 
     @rule(step=st.sampled_from((20, 300, 2000)))
     def wait(self, step):
         self.now += step
-        self.tell("at %d" % self.now)
+        self.command("at %d" % self.now)
 
     @rule(name=st.sampled_from(UPSTREAMS), well=st.booleans())
     def probe(self, name, well):
-        self.tell("probe %s 10.0.0.1:1 %s" % (name,
-                                              "well" if well else "ill"))
+        self.command("probe %s 10.0.0.1:1 %s" % (
+            name, "well" if well else "ill"))
 
     @rule(model=st.sampled_from(MODELS))
     def no_room(self, model):
-        self.tell("no_room %s 500" % model)
+        self.command("no_room %s 500" % model)
 
     @precondition(lambda self: self.next_id > 20)
     @rule()
     def drain(self):
-        self.tell("drain")
+        self.command("drain")
 
-    # ---- the end -------------------------------------------------------
+    # ---- teardown ------------------------------------------------------
 
     def teardown(self):
         try:
@@ -194,7 +195,7 @@
                 self.finish_send(ident, "ok", "-")
             for _ in range(3):
                 self.now += 100000
-                self.tell("at %d" % self.now)
+                self.command("at %d" % self.now)
                 for ident in self.list_sent():
                     self.finish_send(ident, "ok", "-")
             assert not self.open, "requests without a final answer"
