--- a/tests/test_fuzz_fold.py
+++ b/tests/test_fuzz_fold.py
@@ -1,10 +1,10 @@
-"""Four processes are fed one log by whatever path: read directly (entries
-repeated, reversed, damaged, skipped), relayed, from snapshots and from
-checkpoints, while links come and go, frames are lost, doubled and reordered,
-processes start anew and retention cuts the log.  The oracle knows only this:
-what a process holds at an offset is what the accepted sequence makes up to
-there, an offset never steps back, and once the faults end all stand at the
-end of the log."""
+"""Stateful fuzzing of the feed.  Four processes replicate one log on every
+path: direct reads (with entries repeated, reversed, damaged or skipped),
+relayed entries, snapshots and checkpoints.  Meanwhile links go up and down,
+frames are lost, doubled and reordered, processes restart and retention trims
+the log.  The oracle: the state of a process at an offset is the one that the
+log's entries up to there give, no offset goes back, and once the faults end
+all processes reach the end of the log."""
 
 import os
 import subprocess
@@ -17,10 +17,10 @@
 from cluster import ROOT
 
 FEEDS = 4
-KEEPER = 3  # never starts anew, so that the state is never lost for good
+NEVER_RESTARTED = 3  # so that the state is never lost for good
 ANY = st.integers(0, FEEDS - 1)
-SPOILS = st.sampled_from(["", "repeat", "reverse", "damage", "skip"])
-LOSSES = st.sampled_from(["", "drop", "twice", "reverse"])
+READ_FAULTS = st.sampled_from(["", "repeat", "reverse", "damage", "skip"])
+FRAME_FAULTS = st.sampled_from(["", "drop", "twice", "reverse"])
 
 
 class FeedMachine(RuleBasedStateMachine):
@@ -35,16 +35,17 @@
         self.lines = []
         self.tops = [0] * FEEDS
         self.first = 1
-        self.say("tick 10")
+        self.command("tick 10")
 
-    def say(self, line):
+    def command(self, line):
         self.lines.append(line)
         self.proc.stdin.write(line + "\n")
         self.proc.stdin.flush()
 
-    def ask(self, line):
-        """One line of answer: the log's end, then each feed's place."""
-        self.say(line)
+    def query(self, line):
+        """One line of answer: the log's last offset, then the offset and the
+        check's result of each feed."""
+        self.command(line)
         words = self.proc.stdout.readline().split()
         assert words, "crashed after: " + " / ".join(self.lines)
         out = []
@@ -57,7 +58,7 @@
         return int(words[0]), out
 
     def verify(self, line):
-        end, places = self.ask(line)
+        end, places = self.query(line)
         for i, (offset, verdict) in enumerate(places):
             assert verdict == "ok", (i, verdict, self.lines)
             assert offset >= self.tops[i], (i, "stepped back", self.lines)
@@ -66,48 +67,48 @@
 
     @rule(name=st.sampled_from(["t", "u"]), priority=st.integers(0, 9))
     def append(self, name, priority):
-        self.say("append %s %d" % (name, priority))
+        self.command("append %s %d" % (name, priority))
 
     @rule()
     def append_bad(self):
-        self.say("bad")
+        self.command("bad")
 
     @rule(cut=st.integers(0, 6))
-    @precondition(lambda self: self.tops[KEEPER] > 0)
+    @precondition(lambda self: self.tops[NEVER_RESTARTED] > 0)
     def trim(self, cut):
-        self.first = max(self.first, self.tops[KEEPER] + 1 - cut)
-        self.say("trim %d" % self.first)
+        self.first = max(self.first, self.tops[NEVER_RESTARTED] + 1 - cut)
+        self.command("trim %d" % self.first)
 
     @rule(down=st.booleans())
     def turn(self, down):
-        self.say("down %d" % down)
+        self.command("down %d" % down)
 
-    @rule(i=ANY, how=SPOILS, times=st.integers(1, 4))
+    @rule(i=ANY, how=READ_FAULTS, times=st.integers(1, 4))
     def read(self, i, how, times):
         for _ in range(times):
-            self.say("read %d %s" % (i, how))
+            self.command("read %d %s" % (i, how))
 
     @rule(i=ANY, j=ANY, up=st.booleans())
     def set_link(self, i, j, up):
-        self.say("%s %d %d" % ("link" if up else "unlink", i, j))
+        self.command("%s %d %d" % ("link" if up else "unlink", i, j))
 
     @rule(i=ANY, j=ANY)
     def beat(self, i, j):
-        self.say("link %d %d" % (i, j))
-        self.say("beat %d %d" % (i, j))
-        self.say("deliver %d" % j)
+        self.command("link %d %d" % (i, j))
+        self.command("beat %d %d" % (i, j))
+        self.command("deliver %d" % j)
 
-    @rule(i=ANY, how=LOSSES)
+    @rule(i=ANY, how=FRAME_FAULTS)
     def deliver(self, i, how):
-        self.say("deliver %d %s" % (i, how))
+        self.command("deliver %d %s" % (i, how))
 
     @rule(ms=st.sampled_from([20, 100, 400, 2000, 6000]))
     def tick(self, ms):
-        self.say("tick %d" % ms)
+        self.command("tick %d" % ms)
 
-    @rule(i=st.integers(0, KEEPER - 1))
+    @rule(i=st.integers(0, NEVER_RESTARTED - 1))
     def restart(self, i):
-        self.say("restart %d" % i)
+        self.command("restart %d" % i)
         self.tops[i] = 0
 
     @rule()
