--- a/tests/test_checkpoint.py
+++ b/tests/test_checkpoint.py
@@ -1,5 +1,5 @@
-"""A process that keeps nothing starts at the worst moment, and the log has
-lost, damaged or replaced what it was given."""
+"""Processes start without state while the log is down or has lost, damaged or
+replaced entries."""
 
 import os
 import signal
@@ -29,7 +29,7 @@
 
 
 def wait_same(c):
-    """All daemons stand at one offset with one digest."""
+    """All daemons have the same offset and the same digest."""
     def same():
         dumps = [c.dump(d) for d in c.daemons()]
         if len({d["fold"]["offset"] for d in dumps}) != 1:
@@ -46,7 +46,7 @@
 
 
 def emit(build, word):
-    """Bytes of a batch, made by the scripted fold binary."""
+    """The bytes of a batch, made by script_fold."""
     res = subprocess.run([os.path.join(build, "script_fold")],
                          input="emit %s\n" % word, capture_output=True,
                          text=True, timeout=20, check=True)
@@ -54,10 +54,11 @@
 
 
 def test_start_after_retention_cut_the_tail(build):
-    """A template is published once; then other records come until the log
-    no longer keeps its entry.  Every VM is replaced at once.  Without a
-    checkpoint in the tail the new ones would find a log that never mentions
-    the template, and its callers would be turned away."""
+    """Guards against a template lost to the log's retention.  It is published
+    once; then other records follow until the log no longer keeps its entry,
+    and all VMs are replaced at once.  Without a checkpoint in the kept part of
+    the log, the new VMs would not know the template and would refuse its
+    callers."""
     with make(build, log_args=("--keep", "250"), settings=SOON) as c:
         old = publish(c, "steady")
         version = append_some(c, "busy", publish(c, "busy"), 270)
@@ -75,8 +76,8 @@
 
 
 def test_start_with_the_log_down_takes_a_peers_state(build):
-    """The log is down and a VM is replaced.  It has nothing to read; its
-    peers hold what was accepted, so it starts from them and serves."""
+    """A VM is replaced while the log is down.  It starts from the state of
+    its peers and serves."""
     with make(build) as c:
         version = publish(c, "t")
         c.wait_in_force(version)
@@ -88,10 +89,9 @@
 
 
 def test_start_with_neither_log_nor_peers_refuses(build):
-    """Everything is replaced while the log is down.  Nobody knows what was
-    accepted: a caller gets "not run, come again" (not a 401 or 404, which
-    would be a lie), the balancer is told not ready; once the log is back
-    they serve."""
+    """All VMs are replaced while the log is down, so no process has a state.
+    Callers get 503 with refused-not-run and Retry-After (a 401 or 404 could
+    be wrong), and /readyz fails.  Once the log is back they serve."""
     with make(build) as c:
         version = publish(c, "t")
         c.wait_in_force(version)
@@ -113,11 +113,11 @@
 
 
 def test_outage_longer_than_retention(build):
-    """The log is down for longer than it keeps records.  When it is back it
-    holds nothing, while the VMs still hold all that was accepted, and routers
-    have records waiting (claims of certificates that were to be registered
-    just now).  The checkpoint goes before those, so that a VM which starts
-    then, with every other one gone, still finds the state."""
+    """The log is down for longer than its retention, so it is empty when it is
+    back.  The VMs still have the state, and routers have records queued
+    (claims of idempotency keys).  The checkpoint must be appended before
+    those, so that VMs which start later, with all others gone, find the
+    state."""
     service = {"id": "dc1-sadasya-ledger", "centre": "dc1",
                "deployment": "sadasya-ledger"}
     rare = {"router": RARE, "placer": RARE}
@@ -134,7 +134,7 @@
                 pool.submit(c.ask, c.routers()[i % 2], "registry",
                             "/v1/services/member-registry/x", {"n": i},
                             {"Idempotency-Key": "certificate-%d" % i})
-            time.sleep(1.5)  # their claims are tried, and turned away
+            time.sleep(1.5)  # appends of their claims are tried and fail
             # The log takes appends again before it can be read.
             c.set_faults("log", reads_down=True, down=False)
             time.sleep(2.5)
@@ -152,13 +152,13 @@
 
 
 def test_replaced_log_reverts_nothing(build):
-    """The log comes back empty, from offset 1: somebody replaced it.  Its
-    silence does not mean "nothing configured": VMs keep what was accepted,
-    say so, and a VM that starts takes the state from them."""
+    """The log was replaced by an empty one that begins at offset 1.  The VMs
+    keep their state and report the fault, and a VM that starts takes its
+    state from them."""
     with make(build) as c:
         version = publish(c, "t")
         c.wait_in_force(version)
-        # Nothing may be on its way to the new log: it would hide the loss.
+        # No append may be in flight to the new log: it would hide the loss.
         wait_until(lambda: c.owner("dc1"), 15, "owner")
         c.call("log", "PUT", "/test/reset")
         wait_until(lambda: any("below what was seen" in c.dump(d)["fault"]
@@ -173,11 +173,12 @@
 
 
 def test_paused_owner_comes_back_behind_the_log(build):
-    """The owner of a data centre is paused; another claims it; so much comes
-    that neither the log nor any process still has the entries in between.
-    It wakes up as owner, takes a state that stands far behind the other's
-    claim, and must see at once that it owns nothing: its next order would
-    carry that state's offset, a higher number than its successor's."""
+    """The owner of a data centre is paused and another placer claims it.  So
+    many entries follow that neither the log nor any process keeps those in
+    between.  The former owner resumes and restores a state whose offset is far
+    above the other's claim.  It must notice at once that it no longer owns the
+    data centre: its next order would carry the state's offset, which is higher
+    than its successor's fencing number."""
     with make(build, settings=SOON) as c:
         version = publish(c, "t")
         c.wait_in_force(version)
@@ -188,7 +189,7 @@
         other = [p for p in c.placers("dc1") if p != old][0]
         wait_until(lambda: c.dump(other)["state"]["owner"], 15, "new owner")
         c.set_faults("log", keep=30)
-        for _ in range(60):  # entries that change nothing, but are kept
+        for _ in range(60):  # entries that take space but change no state
             at = c.call("log", "POST", "/test/raw",
                         b"x" * 100000).json()["offset"]
             wait_until(lambda n=at: c.dump(other)["fold"]["offset"] >= n, 15,
@@ -207,9 +208,10 @@
 
 
 def test_newer_format_holds(build):
-    """A newer program appends a batch that this one can't read.  Passing
-    over it would leave out what newer processes apply: two states under one
-    offset.  So this process holds there, says so, and goes on serving."""
+    """A newer version appends a batch of an unknown format.  Skipping an entry
+    that newer processes apply would give two different states at one offset.
+    So the process stays at the offset before it, reports that, and goes on
+    serving."""
     with make(build) as c:
         version = publish(c, "t")
         c.wait_in_force(version)
@@ -229,9 +231,9 @@
 
 
 @pytest.mark.parametrize("word", ["truncated", "corrupt", "garbage"])
-def test_bad_entry_is_refused_whole(build, word):
-    """The log holds an entry that does not decode.  Every process refuses
-    it whole, says so, and goes on to the next, all with one state."""
+def test_bad_entry_is_skipped(build, word):
+    """The log holds an entry that does not decode.  Every process skips the
+    whole entry, logs that, and applies the next; all have the same state."""
     with make(build) as c:
         version = publish(c, "t")
         at = c.call("log", "POST", "/test/raw",
@@ -245,9 +247,9 @@
 
 @pytest.mark.parametrize("fault", ["damage", "shuffle"])
 def test_bad_read_loses_nothing(build, fault):
-    """Entries are whole in the log but reach one process damaged, or out of
-    order.  Were they passed over there, this process alone would lack them
-    for good; it reads again instead."""
+    """Entries are intact in the log but are read damaged or out of order.  A
+    process that skipped them would lack them for good; it reads them again
+    instead."""
     with make(build) as c:
         base = publish(c, "t")
         c.wait_in_force(base)
