--- a/tests/test_fuzz_rt.py
+++ b/tests/test_fuzz_rt.py
@@ -57,7 +57,7 @@
     def check_send(self, ident, where):
         q = self.open[ident]
         assert q["at"] is None, "sent twice at once"
-        assert not (q["once"] and q["ran"]), "a non-idempotent call is sent again"
+        assert not (q["once"] and q["ran"]), "a second run is possible"
         assert where not in self.left, "sent to a leaving upstream"
         assert where not in self.gone, "sent to an upstream that is gone"
         assert q["deaths"] < 2, "sent again after two deaths"
