--- a/src/feed.c
+++ b/src/feed.c
@@ -417,8 +417,8 @@
 }
 
 /* Apply the entries of one read, in the order in which the log service
-   returned them, up to the first that is not at the next offset: a gap would
-   omit records. */
+   returned them.  Entries that were applied before are skipped.  The first
+   entry beyond the next offset ends it, as a gap would omit records. */
 static void
 apply_page(Feed *f, const LogPage *page)
 {
