--- a/tests/unit_gateway.c
+++ b/tests/unit_gateway.c
@@ -1,5 +1,6 @@
-/* The gateway's decision cores, without threads, I/O or clock: the lease, the
-   budget of repeats, the choice of an upstream, placement. */
+/* Unit tests of the gateway's modules that run without threads, I/O or clock:
+   lease (ls), retry budget (rb), choice of an upstream (ut), lag (lag),
+   placement (mp), routes (dep).  Time is a number that the tests advance. */
 #include "dep.h"
 #include "lag.h"
 #include "ls.h"
@@ -12,19 +13,20 @@
 
 /* ---- lease -------------------------------------------------------------- */
 
-/* A topic of the store, and processes that read and write it. */
+/* The lease's topic in the store. */
 typedef struct {
     char *newest; /* value of the newest record, or NULL */
     uint64_t tail;
 } Topic;
 
+/* A VM whose lease reads and writes the topic. */
 typedef struct {
     Ls *lease;
     Topic *topic;
-    bool cut; /* from the store */
-    bool reading;
+    bool cut;     /* can't reach the store */
+    bool reading; /* a read from FROM is pending */
     uint64_t from;
-    bool writing;
+    bool writing; /* an append of VALUE at AT is pending */
     uint64_t at;
     char *value;
 } Vm;
@@ -76,23 +78,23 @@
 {
     if (v->reading) {
         v->reading = false;
-        bool news = v->topic->newest && v->topic->tail > v->from;
+        bool has_new = v->topic->newest && v->topic->tail > v->from;
         ls_on_read(v->lease, now_ms, v->cut ? ST_UNREACHABLE : ST_OK,
-                   news ? v->topic->newest : NULL, v->topic->tail - 1,
+                   has_new ? v->topic->newest : NULL, v->topic->tail - 1,
                    v->topic->tail);
     }
     if (v->writing) {
         v->writing = false;
-        bool fits = v->at == v->topic->tail;
-        if (!v->cut && fits) {
+        bool matches = v->at == v->topic->tail;
+        if (!v->cut && matches) {
             g_free(v->topic->newest);
             v->topic->newest = g_strdup(v->value);
             v->topic->tail++;
         }
         ls_on_append(v->lease, now_ms,
-                     v->cut ? ST_UNREACHABLE
-                     : fits ? ST_OK
-                            : ST_CONFLICT,
+                     v->cut    ? ST_UNREACHABLE
+                     : matches ? ST_OK
+                               : ST_CONFLICT,
                      v->topic->tail - 1, v->topic->tail);
     }
 }
@@ -101,20 +103,20 @@
 vm_run(Vm *vms, int n, uint64_t *now_ms, uint64_t for_ms)
 {
     for (uint64_t end = *now_ms + for_ms; *now_ms < end; *now_ms += 20) {
-        int holders = 0;
+        int leaders = 0;
         for (int i = 0; i < n; i++) {
             ls_on_tick(vms[i].lease, *now_ms);
             vm_answer(&vms[i], *now_ms);
-            holders += ls_is_leader(vms[i].lease, *now_ms);
+            leaders += ls_is_leader(vms[i].lease, *now_ms);
         }
-        CU_ASSERT(holders <= 1);
+        CU_ASSERT(leaders <= 1);
     }
 }
 
-/* The first VM that claims holds the lease and may order at once; it goes on
-   holding it. */
+/* The first VM that claims the lease becomes leader and may order at once.  It
+   stays leader. */
 static void
-test_lease_first_holder(void)
+test_lease_first_leader(void)
 {
     Topic t = {0};
     Vm v[2];
@@ -129,11 +131,11 @@
     g_free(t.newest);
 }
 
-/* The holder is cut from the store.  Its right ends by itself before another
-   VM's begins, and that one's first order waits for the rest as well; its
-   token is higher. */
+/* The leader can't reach the store.  Its lease ends before another VM's
+   begins.  The new leader's first order also waits for the guard interval, and
+   its token is higher. */
 static void
-test_lease_moves_on(void)
+test_lease_failover(void)
 {
     Topic t = {0};
     Vm v[2];
@@ -159,10 +161,10 @@
     g_free(t.newest);
 }
 
-/* The holder stands still for longer than its lease: at the moment it wakes
-   it may order nothing, before any timer of its own has run. */
+/* The leader is suspended for longer than its lease.  It must not order when
+   it resumes, even before any timer of its own has run. */
 static void
-test_lease_of_a_sleeper(void)
+test_lease_expires_while_suspended(void)
 {
     Topic t = {0};
     Vm v;
@@ -178,19 +180,20 @@
 #define SCHEDULE_VMS 3
 #define SCHEDULE_SEEDS 200
 #define SCHEDULE_MS 60000
-#define SCHEDULE_REST_MS 3000
+#define SCHEDULE_GUARD_MS 3000
 
-/* What may happen to a VM for some seconds. */
+/* A VM with faults that last for some seconds. */
 typedef struct {
     Vm vm;
     uint64_t frozen_until_ms;
     uint64_t cut_until_ms;
-    uint64_t lost_until_ms; /* its appends are done, their answers lost */
-    uint32_t lives;
-} Stressed;
+    uint64_t lost_until_ms; /* its appends take effect, their answers are
+                               lost */
+    uint32_t incarnation;   /* index of the VM + 10 for each restart */
+} FaultyVm;
 
 static void
-schedule_trouble(Stressed *x, Topic *t, uint64_t now_ms, BgRandom *rng)
+inject_fault(FaultyVm *x, Topic *t, uint64_t now_ms, BgRandom *rng)
 {
     uint64_t until_ms = now_ms + 100 + bg_pick_random(rng, 4000);
     switch (bg_pick_random(rng, 4)) {
@@ -206,10 +209,10 @@
     default: {
         const char *name = ls_get_leader_vm(x->vm.lease);
         (void)name;
-        g_autofree char *vm = g_strdup_printf("v%u", x->lives % 10);
+        g_autofree char *vm = g_strdup_printf("v%u", x->incarnation % 10);
         g_autofree char *process =
-            g_strdup_printf("%s-%u", vm, x->lives / 10 + 1);
-        x->lives += 10;
+            g_strdup_printf("%s-%u", vm, x->incarnation / 10 + 1);
+        x->incarnation += 10;
         vm_stop(&x->vm);
         vm_start(&x->vm, t, vm, process);
         break;
@@ -218,7 +221,7 @@
 }
 
 static void
-answer_stressed(Stressed *x, uint64_t now_ms)
+answer_faulty_vm(FaultyVm *x, uint64_t now_ms)
 {
     Vm *v = &x->vm;
     v->cut = now_ms < x->cut_until_ms;
@@ -233,23 +236,23 @@
     vm_answer(v, now_ms);
 }
 
-/* VMs freeze, are cut from the store, lose its answers and start anew, in any
-   order and together.  Upstreams that don't check tokens are harmed when two
-   of them order in turn: between the orders of two VMs there must always lie
-   the rest, and a later holder's token must be higher. */
+/* VMs freeze, can't reach the store, lose its answers and restart, in any
+   order and at the same time.  Orders of two leaders in turn would harm
+   upstreams that don't check tokens.  So the guard interval must always lie
+   between the orders of two VMs, and a later leader's token must be higher. */
 static void
 test_lease_random_schedules(void)
 {
     int changes = 0;
     for (uint64_t seed = 1; seed <= SCHEDULE_SEEDS; seed++) {
         Topic t = {0};
-        Stressed x[SCHEDULE_VMS] = {0};
+        FaultyVm x[SCHEDULE_VMS] = {0};
         BgRandom rng;
         bg_seed_random(&rng, seed);
         for (uint32_t i = 0; i < SCHEDULE_VMS; i++) {
             g_autofree char *vm = g_strdup_printf("v%u", i);
             g_autofree char *process = g_strdup_printf("v%u-0", i);
-            x[i].lives = i;
+            x[i].incarnation = i;
             vm_start(&x[i].vm, &t, vm, process);
         }
         int last = -1;
@@ -259,24 +262,25 @@
         for (uint64_t now_ms = from_ms; now_ms < from_ms + SCHEDULE_MS;
              now_ms += 20) {
             if (bg_pick_random(&rng, 60) == 0) {
-                schedule_trouble(&x[bg_pick_random(&rng, SCHEDULE_VMS)], &t,
-                                 now_ms, &rng);
+                inject_fault(&x[bg_pick_random(&rng, SCHEDULE_VMS)], &t,
+                             now_ms, &rng);
             }
             for (int i = 0; i < SCHEDULE_VMS; i++) {
                 if (now_ms < x[i].frozen_until_ms) {
                     continue;
                 }
                 if (ls_may_order(x[i].vm.lease, now_ms)) {
-                    bool turn = last >= 0 && last != i;
-                    CU_ASSERT(!turn || now_ms >= last_ms + SCHEDULE_REST_MS);
+                    bool leader_changed = last >= 0 && last != i;
+                    CU_ASSERT(!leader_changed ||
+                              now_ms >= last_ms + SCHEDULE_GUARD_MS);
                     CU_ASSERT(ls_get_token(x[i].vm.lease) >= token);
-                    changes += turn;
+                    changes += leader_changed;
                     last = i;
                     last_ms = now_ms;
                     token = ls_get_token(x[i].vm.lease);
                 }
                 ls_on_tick(x[i].vm.lease, now_ms);
-                answer_stressed(&x[i], now_ms);
+                answer_faulty_vm(&x[i], now_ms);
             }
         }
         for (int i = 0; i < SCHEDULE_VMS; i++) {
@@ -287,12 +291,12 @@
     CU_ASSERT(changes > SCHEDULE_SEEDS);
 }
 
-/* The holder was last heard, and renewed, just before its VM was lost.  Its
-   successor's first order comes after what the former may still have ordered
-   and the rest: not also after the lease and the claim, in which nobody was
-   loaded for two seconds more. */
+/* The leader renewed the lease, and was last heard from, just before its VM
+   was lost.  The guard interval runs from the last order that the former
+   leader may have sent.  Guards against an interval that starts after the
+   lease and the claim: nothing was loaded for two seconds more. */
 static void
-test_lease_rest_begins_with_the_last_order(void)
+test_lease_guard_starts_at_last_order(void)
 {
     Topic t = {0};
     Vm v[2];
@@ -313,8 +317,9 @@
     g_free(t.newest);
 }
 
-/* A new process on the holder's VM goes on without the lease's time and the
-   rest: the former process is gone, and one VM is one holder. */
+/* A new process on the leader's VM takes over without waiting for the end of
+   the lease or the guard interval: the former process is gone, and both have
+   the same VM name. */
 static void
 test_lease_after_restart(void)
 {
@@ -333,11 +338,11 @@
     g_free(t.newest);
 }
 
-/* A holder that yields gives the lease up: another takes it without waiting
-   for its end, and still rests before its first order.  The former one leaves
-   it alone for the time it said. */
+/* A leader yields its lease.  Another VM takes it without waiting for its end,
+   but still keeps the guard interval before its first order.  The former
+   leader doesn't claim the lease for the pause that it was given. */
 static void
-test_lease_given_up(void)
+test_lease_yielded(void)
 {
     Topic t = {0};
     Vm v[2];
@@ -357,10 +362,10 @@
     g_free(t.newest);
 }
 
-/* Guards against a holder that yields while a renewal is out, is told that it
-   was done, and holds the lease again. */
+/* Guards against a leader that yields while a renewal is pending, gets its
+   acknowledgement, and is leader again. */
 static void
-test_lease_given_up_in_a_renewal(void)
+test_lease_yielded_during_renewal(void)
 {
     Topic t = {0};
     Vm v[2];
@@ -385,11 +390,11 @@
     g_free(t.newest);
 }
 
-/* A holder that is about to stop goes on renewing; the process after it on
-   the same VM takes over and orders at once.  If none comes, another VM does
-   after the lease. */
+/* A leader that is about to stop goes on renewing.  The next process on the
+   same VM takes over and orders at once.  If none starts, another VM becomes
+   leader when the lease has ended. */
 static void
-test_lease_of_a_leaver(void)
+test_lease_during_shutdown(void)
 {
     Topic t = {0};
     Vm v[2];
@@ -414,9 +419,10 @@
     g_free(t.newest);
 }
 
-/* A process that has just started must not take itself for one of few. */
+/* A gateway that has just started learns the size of the fleet from the lease.
+   Guards against one that assumes a small fleet. */
 static void
-test_lease_tells_the_fleet(void)
+test_lease_carries_fleet_size(void)
 {
     Topic t = {0};
     Vm v[2];
@@ -436,8 +442,8 @@
 
 /* ---- budget ------------------------------------------------------------- */
 
-/* Repeats of several gateways together stay within the service's allowance in
-   every window, also when one of them starts anew in the middle. */
+/* The retries of several gateways together stay within the service's allowance
+   in every window, even if one of them restarts in between. */
 static void
 test_budget_in_every_window(void)
 {
@@ -445,9 +451,9 @@
     RbParams p = {10000, 0.2, 54, GATEWAYS};
     Rb *b[GATEWAYS];
     static uint32_t requests[END_MS / 10];
-    static uint32_t repeats[END_MS / 10];
+    static uint32_t retries[END_MS / 10];
     memset(requests, 0, sizeof(requests));
-    memset(repeats, 0, sizeof(repeats));
+    memset(retries, 0, sizeof(retries));
     for (int i = 0; i < GATEWAYS; i++) {
         b[i] = rb_create(&p, 0);
     }
@@ -460,27 +466,27 @@
         rb_on_request(one, now_ms, "s");
         requests[now_ms / 10]++;
         while (rb_take(one, now_ms, "s")) {
-            repeats[now_ms / 10]++;
+            retries[now_ms / 10]++;
         }
     }
     for (int from = 0; from + 1000 <= END_MS / 10; from += 7) {
-        uint32_t asked = 0;
-        uint32_t again = 0;
+        uint32_t total_requests = 0;
+        uint32_t total_retries = 0;
         for (int i = from; i < from + 1000; i++) {
-            asked += requests[i];
-            again += repeats[i];
+            total_requests += requests[i];
+            total_retries += retries[i];
         }
-        CU_ASSERT(again <= 0.2 * asked + 54);
+        CU_ASSERT(total_retries <= 0.2 * total_requests + 54);
     }
     for (int i = 0; i < GATEWAYS; i++) {
         rb_destroy(b[i]);
     }
 }
 
-/* Gateways that are cut off go on spending their part: fewer of them in sight
-   don't make ours larger. */
+/* Gateways that are cut off go on spending their part of the slack.  If fewer
+   of them are seen, this gateway's part must not grow before RB_MEMORY_MS. */
 static void
-test_budget_remembers_gateways(void)
+test_budget_keeps_share_of_lost_gateways(void)
 {
     RbParams p = {1000, 0, 100, 10};
     Rb *b = rb_create(&p, 0);
@@ -541,25 +547,25 @@
 }
 
 static void
-test_choice_spreads(void)
+test_choice_balances_load(void)
 {
     UtSet *s = make_set(4, NULL);
     UtQuery q = {.service = "s"};
-    uint32_t most = 0;
+    uint32_t max_running = 0;
     for (int i = 0; i < 40; i++) {
         Ut *u = NULL;
         CU_ASSERT_EQUAL(ut_choose(s, 10, &q, &u), UT_FOUND);
         ut_start(u);
-        most = MAX(most, ut_get_running(u));
+        max_running = MAX(max_running, ut_get_running(u));
     }
-    CU_ASSERT(most <= 12);
+    CU_ASSERT(max_running <= 12);
     ut_destroy(s);
 }
 
-/* One upstream fails what it is given at once, and so always looks idle: it
-   must not draw the requests to it. */
+/* One upstream fails its requests at once, so it always looks idle.  It must
+   not attract more requests because of that. */
 static void
-test_choice_shuns_what_fails(void)
+test_choice_avoids_failing(void)
 {
     UtSet *s = make_set(4, NULL);
     UtQuery q = {.service = "s"};
@@ -575,40 +581,40 @@
         ut_finish(s, u, now_ms + 10, bad ? UT_OUTCOME_FAILED : UT_OUTCOME_GOOD,
                   10, &q);
     }
-    CU_ASSERT(failed < 25); /* of 200; a quarter would be 50 */
+    CU_ASSERT(failed < 25); /* of 200; an equal share would be 50 */
     ut_destroy(s);
 }
 
-/* An upstream that can't be reached rests, longer each time, and is tried all
-   the same when there is no other. */
+/* An unreachable upstream is left out for a while, longer after each attempt.
+   It is tried all the same if there is no other. */
 static void
-test_choice_rests_the_dead(void)
+test_choice_backs_off_unreachable(void)
 {
     UtSet *s = make_set(2, NULL);
     UtQuery q = {.service = "s"};
-    int dead = 0;
+    int unreachable_calls = 0;
     for (uint64_t now_ms = 0; now_ms < 10000; now_ms += 10) {
         Ut *u = NULL;
         CU_ASSERT_EQUAL(ut_choose(s, now_ms, &q, &u), UT_FOUND);
         ut_start(u);
         bool bad = strcmp(ut_get_id(u), "u1") == 0;
-        dead += bad;
+        unreachable_calls += bad;
         ut_finish(s, u, now_ms, bad ? UT_OUTCOME_UNREACHABLE : UT_OUTCOME_GOOD,
                   0, &q);
     }
-    CU_ASSERT(dead >= 1 && dead < 20);
+    CU_ASSERT(unreachable_calls >= 1 && unreachable_calls < 20);
     ut_on_gone(s, 10000, "u0");
     Ut *u = NULL;
     CU_ASSERT_EQUAL(ut_choose(s, 10000, &q, &u), UT_FOUND);
     ut_destroy(s);
 }
 
-/* The only holder of a model crashes; its port refuses each connection at
-   once.  What waits for it must not connect without pause (fifty callers
-   would take the VM's processor for seconds), yet finds it soon after it is
-   back. */
+/* The only upstream that holds a model crashes, and its port refuses each
+   connection at once.  Waiting requests must not retry it without a pause
+   (fifty callers would take the VM's processor for seconds), but must find it
+   soon after it is back. */
 static void
-test_choice_probes_the_only_holder(void)
+test_choice_probes_only_replica(void)
 {
     UtSet *s = make_set(1, "m0");
     UtQuery q = {.service = "s", .model = "m0"};
@@ -635,9 +641,10 @@
 }
 
 /* Guards against hundreds of gateways that each try a crashed upstream ten
-   times a second: the placing VM tells of it, and tries it for all. */
+   times a second.  The leader reports it unreachable and probes it for all of
+   them. */
 static void
-test_choice_leaves_what_is_told_away(void)
+test_choice_avoids_reported_unreachable(void)
 {
     UtSet *s = make_set(2, "m0");
     UtQuery q = {.service = "s", .model = "m0"};
@@ -660,18 +667,18 @@
     ut_on_placement(s, 3020, "u1", list_models("m0"));
     CU_ASSERT_EQUAL(ut_choose(s, 3020, &q, &u), UT_FOUND);
     CU_ASSERT_STRING_EQUAL(ut_get_id(u), "u1");
-    /* Nobody tells when it is back: it is tried as if nothing was told. */
+    /* Contact with the leader is lost: its report counts no longer. */
     ut_on_unreachable(s, 3030, "u1");
     CU_ASSERT_EQUAL(ut_choose(s, 9000, &q, &u), UT_FOUND);
     ut_destroy(s);
 }
 
-/* An upstream crashes and is back a second later with nothing loaded; its
-   entry still lists its models, and it turns away each request for them.  Each
-   costs a repeat, of which there are few: single calls find out, until its new
-   content is told. */
+/* An upstream crashes and is back a second later with nothing loaded.  Its
+   entry still lists its models, and it refuses each request for them.  Each
+   refusal costs a retry, of which there are few.  So only single requests may
+   try it until its new content is published. */
 static void
-test_choice_doubts_the_restarted(void)
+test_choice_after_upstream_restart(void)
 {
     UtSet *s = make_set(1, "m0");
     UtQuery q = {.service = "s", .model = "m0"};
@@ -694,11 +701,11 @@
     ut_destroy(s);
 }
 
-/* A relay's link carried a third of what was sent: its members heard the
-   placing VM at the usual pace, and took what was true ten seconds before for
-   news. */
+/* A relay's link carried a third of what was sent.  Its members received the
+   leader's updates at the usual rate and took state from ten seconds ago for
+   current. */
 static void
-test_lag_of_a_full_link(void)
+test_lag_of_saturated_link(void)
 {
     Lag l = {0};
     for (uint64_t sent_ms = 0; sent_ms < 4000; sent_ms += 200) {
@@ -712,7 +719,7 @@
         CU_ASSERT_EQUAL(late_ms, queued_ms);
     }
     CU_ASSERT(late_ms > 10000);
-    /* Another link, and a clock that drifts by half a thousandth. */
+    /* Another link, and a clock that drifts by 0.05 %. */
     lag_reset(&l);
     for (uint64_t sent_ms = 0; sent_ms < 600000; sent_ms += 200) {
         late_ms = lag_update(&l, 5000000 + sent_ms + sent_ms / 2000, sent_ms);
@@ -720,11 +727,11 @@
     }
 }
 
-/* The placing VM falls silent, and with it the store.  The entries that this
-   gateway read are older than what it was told last: until it reads newer
-   ones, requests go where that VM said. */
+/* The gateway loses contact with the leader and with the store.  The entries
+   that it has read are older than the leader's last placement.  Requests
+   follow that placement until a newer entry is read. */
 static void
-test_choice_keeps_what_was_told(void)
+test_choice_keeps_last_placement(void)
 {
     UtSet *s = make_set(1, "m0");
     UtQuery q = {.service = "s", .model = "m1"};
@@ -737,11 +744,13 @@
     ut_destroy(s);
 }
 
-/* A model that rises has two holders; more wait there than begin in time.  A
-   gateway that hears of it sends nothing more behind them, and says which is
-   the less busy; what has run elsewhere already goes on all the same. */
+/* A model in rising demand is loaded on two upstreams, and more requests are
+   queued there than can begin in time.  A gateway that knows this from the
+   leader's totals sends no more of them, and returns the upstream with the
+   shorter queue.  A request that has already run elsewhere is still sent: its
+   max_wait_ms is 0. */
 static void
-test_choice_leaves_long_queues_alone(void)
+test_choice_avoids_long_queues(void)
 {
     UtSet *s = make_set(2, "m0");
     UtTotal totals[] = {{ut_make_key("u0"), 60, 5000, false},
@@ -756,7 +765,8 @@
     q.max_wait_ms = 4000;
     CU_ASSERT_EQUAL(ut_choose(s, 1100, &q, &u), UT_FOUND);
     CU_ASSERT_STRING_EQUAL(ut_get_id(u), "u1");
-    /* Some hold back sooner, some later, or all would send at one moment. */
+    /* The threshold varies by request, so that not all are sent at the same
+       moment. */
     q.draw = 0;
     CU_ASSERT_EQUAL(ut_choose(s, 1100, &q, &u), UT_BUSY);
     q.max_wait_ms = 2100;
@@ -764,7 +774,7 @@
     CU_ASSERT_EQUAL(ut_choose(s, 1100, &q, &u), UT_FOUND);
     q.max_wait_ms = 0;
     CU_ASSERT_EQUAL(ut_choose(s, 1100, &q, &u), UT_FOUND);
-    /* What was told long ago tells nothing. */
+    /* The totals have expired. */
     q.max_wait_ms = 1000;
     CU_ASSERT_EQUAL(ut_choose(s, 2500, &q, &u), UT_FOUND);
     ut_destroy(s);
@@ -788,10 +798,11 @@
     ut_destroy(s);
 }
 
-/* It says that it lacks the model: nothing is sent there for a while, longer
-   each time, so that a wrong belief doesn't spend the budget of repeats. */
+/* An upstream answers that it doesn't have the model.  It gets no requests for
+   it for a while, longer each time, so that a wrong assumption doesn't use up
+   the retry budget. */
 static void
-test_choice_after_absence(void)
+test_choice_after_missing_model(void)
 {
     UtSet *s = make_set(1, "m0");
     UtQuery q = {.service = "s", .model = "m0"};
@@ -809,10 +820,10 @@
     ut_destroy(s);
 }
 
-/* Requests that share their leading parts go to one holder while it isn't far
-   more loaded than the others, and spread when it is. */
+/* Requests that share a prompt prefix go to the same upstream while it isn't
+   far more loaded than the others, and spread when it is. */
 static void
-test_choice_keeps_prompts_together(void)
+test_choice_prefix_affinity(void)
 {
     UtSet *s = make_set(5, "m0");
     UtQuery q = {.service = "s", .model = "m0", .affinity = 77};
@@ -829,10 +840,11 @@
     ut_destroy(s);
 }
 
-/* The same id in another life, or at another address: what was learnt of the
-   former is forgotten, and a call that is out there may still end. */
+/* An upstream is replaced by a new one with the same id, born later or at
+   another address.  What was learnt about the former one is dropped, and a
+   running call to it may still end. */
 static void
-test_choice_reborn(void)
+test_choice_replaced_upstream(void)
 {
     UtSet *s = make_set(1, "m0");
     UtQuery q = {.service = "s", .model = "m0"};
@@ -851,22 +863,22 @@
 
 /* ---- placement ---------------------------------------------------------- */
 
-/* Engines that carry orders out, with what they were ordered. */
+/* A simulated engine that carries out orders. */
 typedef struct {
     DepUpstream *state;
     uint32_t used_mb;
-    double left_ms; /* of the load, at full speed */
-    char *coming;
-    bool asked;
-    int asks;
-    int told_away;
-    bool down;     /* refuses connections */
-    MpOrder order; /* out, if upstream is set */
+    double left_ms;        /* of the load, at full speed */
+    char *loading;         /* model; NULL: none */
+    bool report_requested; /* and not answered yet */
+    int report_requests;
+    int reported_unreachable; /* times */
+    bool down;                /* refuses connections */
+    MpOrder order;            /* pending if upstream is set */
     char *order_model;
     char *order_adapter;
     int loads;
     int unloads;
-    GHashTable *usable; /* set of models that gateways were told of */
+    GHashTable *usable; /* set of models published to gateways */
 } Engine;
 
 #define ENGINES 4
@@ -875,17 +887,19 @@
 #define LOAD_MS 500
 #define STEP_MS 20
 
+/* A simulated fleet: the placement on the leader, engines and the demand that
+   gateways report. */
 typedef struct {
     Mp *mp;
     Dm *demand; /* of all gateways */
     DepConfig *config;
     Engine engines[ENGINES];
-    int lose; /* answers of orders that are lost */
+    int answers_to_lose; /* that many next answers to orders are lost */
     bool refuse_unloads;
-    uint32_t store_serves; /* loads at full speed; more share its rate;
-                              0: any number */
-    uint32_t load_ms;      /* at full speed */
-    int refused;
+    uint32_t store_concurrency; /* loads served at full speed; more share
+                                   its rate; 0: no limit */
+    uint32_t load_ms;           /* at full speed */
+    int refused;                /* unloads */
     bool overcommitted;
     uint64_t now_ms;
 } Site;
@@ -908,15 +922,15 @@
 }
 
 static void
-site_ask(void *ctx, const DepUpstream *of)
+site_request_report(void *ctx, const DepUpstream *of)
 {
     Engine *e = find_engine(ctx, of->id);
-    e->asked = true;
-    e->asks++;
+    e->report_requested = true;
+    e->report_requests++;
 }
 
 static void
-site_placed(void *ctx, const char *upstream, const GPtrArray *models)
+site_publish(void *ctx, const char *upstream, const GPtrArray *models)
 {
     Engine *e = find_engine(ctx, upstream);
     g_hash_table_remove_all(e->usable);
@@ -927,29 +941,29 @@
 }
 
 static void
-site_away(void *ctx, const char *upstream)
+site_mark_unreachable(void *ctx, const char *upstream)
 {
     Engine *e = find_engine(ctx, upstream);
-    e->told_away++;
+    e->reported_unreachable++;
 }
 
 static void
-site_judged(void *ctx, const char *model, double good, double slow,
-            double load, uint32_t replicas)
+site_capacity_estimated(void *ctx, const char *model, double capacity,
+                        double slow, double load, uint32_t replicas)
 {
     (void)ctx;
     (void)model;
-    (void)good;
+    (void)capacity;
     (void)slow;
     (void)load;
     (void)replicas;
 }
 
 static MpOrderResult
-carry_out(Site *s, Engine *e)
+execute_order(Site *s, Engine *e)
 {
     const MpOrder *o = &e->order;
-    if (e->coming || o->sequence != e->state->sequence) {
+    if (e->loading || o->sequence != e->state->sequence) {
         return MP_ORDER_CONFLICT;
     }
     if (o->unload && !e->order_adapter && s->refuse_unloads) {
@@ -988,7 +1002,7 @@
     e->loads++;
     e->used_mb += MODEL_MB;
     s->overcommitted = s->overcommitted || e->used_mb > ENGINE_MB;
-    e->coming = g_strdup(e->order_model);
+    e->loading = g_strdup(e->order_model);
     e->left_ms = s->load_ms;
     return MP_ORDER_ACCEPTED;
 }
@@ -998,7 +1012,7 @@
 {
     int n = 0;
     for (int i = 0; i < ENGINES; i++) {
-        n += s->engines[i].coming != NULL;
+        n += s->engines[i].loading != NULL;
     }
     return n;
 }
@@ -1006,8 +1020,9 @@
 static void
 advance_loads(Site *s)
 {
-    double serves = s->store_serves ? s->store_serves : ENGINES;
-    double share = MAX(count_loading(s) / serves, 1);
+    double full_speed_loads =
+        s->store_concurrency ? s->store_concurrency : ENGINES;
+    double share = MAX(count_loading(s) / full_speed_loads, 1);
     for (int i = 0; i < ENGINES; i++) {
         s->engines[i].left_ms -= STEP_MS / share;
     }
@@ -1016,25 +1031,26 @@
 static void
 answer_engine(Site *s, Engine *e)
 {
-    if (e->coming && e->left_ms <= 0) {
-        dep_add_resident(e->state, e->coming);
-        g_clear_pointer(&e->coming, g_free);
+    if (e->loading && e->left_ms <= 0) {
+        dep_add_resident(e->state, e->loading);
+        g_clear_pointer(&e->loading, g_free);
         mp_on_entry(s->mp, s->now_ms, e->state);
     }
     if (e->order.upstream) {
-        MpOrderResult end = e->down ? MP_ORDER_NOT_SENT : carry_out(s, e);
-        if (s->lose > 0) {
-            s->lose--;
-            end = MP_ORDER_UNKNOWN;
+        MpOrderResult result =
+            e->down ? MP_ORDER_NOT_SENT : execute_order(s, e);
+        if (s->answers_to_lose > 0) {
+            s->answers_to_lose--;
+            result = MP_ORDER_UNKNOWN;
         }
         e->order.upstream = NULL;
         g_clear_pointer(&e->order_model, g_free);
         g_clear_pointer(&e->order_adapter, g_free);
-        mp_on_order_result(s->mp, s->now_ms, e->state->id, end);
+        mp_on_order_result(s->mp, s->now_ms, e->state->id, result);
     }
-    if (e->asked) {
-        e->asked = false;
-        e->state->busy = e->coming != NULL;
+    if (e->report_requested) {
+        e->report_requested = false;
+        e->state->busy = e->loading != NULL;
         mp_on_report(s->mp, s->now_ms, e->state->id,
                      e->down ? NULL : e->state);
     }
@@ -1047,8 +1063,12 @@
     s->now_ms = 100000;
     s->load_ms = LOAD_MS;
     MpParams p = {false};
-    MpOutput out = {s,           site_order, site_ask,
-                    site_placed, site_away,  site_judged};
+    MpOutput out = {s,
+                    site_order,
+                    site_request_report,
+                    site_publish,
+                    site_mark_unreachable,
+                    site_capacity_estimated};
     s->mp = mp_create(&p, &out);
     s->demand = dm_create();
     s->config = dep_create_config();
@@ -1089,7 +1109,7 @@
     dep_unref_config(s->config);
     for (int i = 0; i < ENGINES; i++) {
         dep_destroy_upstream(s->engines[i].state);
-        g_free(s->engines[i].coming);
+        g_free(s->engines[i].loading);
         g_hash_table_destroy(s->engines[i].usable);
     }
 }
@@ -1097,20 +1117,20 @@
 #define DEMAND_LIFE_MS 2000
 
 static void
-tell_sums(Site *s)
+collect_demand(Site *s)
 {
-    DmDemand *sums = dm_collect(s->demand, false);
-    mp_on_demand(s->mp, s->now_ms, sums);
-    dm_destroy_demand(sums);
+    DmDemand *aggregate = dm_collect(s->demand, false);
+    mp_on_demand(s->mp, s->now_ms, aggregate);
+    dm_destroy_demand(aggregate);
 }
 
-/* DEMAND is all that GATEWAY has now; freed. */
+/* DEMAND: a snapshot of GATEWAY's demand.  Takes ownership. */
 static void
-take_demand(Site *s, const char *gateway, DmDemand *demand)
+apply_demand(Site *s, const char *gateway, DmDemand *demand)
 {
     dm_apply(s->demand, s->now_ms, gateway, demand);
     dm_destroy_demand(demand);
-    tell_sums(s);
+    collect_demand(s);
 }
 
 static void
@@ -1120,7 +1140,7 @@
     for (; s->now_ms < end; s->now_ms += STEP_MS) {
         advance_loads(s);
         dm_expire_sources(s->demand, s->now_ms, DEMAND_LIFE_MS);
-        tell_sums(s);
+        collect_demand(s);
         mp_on_tick(s->mp, s->now_ms, may_order);
         for (int i = 0; i < ENGINES; i++) {
             answer_engine(s, &s->engines[i]);
@@ -1129,21 +1149,21 @@
 }
 
 static void
-say_demand(Site *s, const char *gateway, const char *model,
-           const char *adapter, uint32_t waiting, uint32_t arrived)
+report_demand(Site *s, const char *gateway, const char *model,
+              const char *adapter, uint32_t waiting, uint32_t arrived)
 {
     DmDemand *demand = dm_create_demand(true);
     DmModelDemand *w = dm_add_model_demand(demand, model, adapter);
     w->waiting = waiting;
     w->arrived = arrived;
-    take_demand(s, gateway, demand);
+    apply_demand(s, gateway, demand);
 }
 
 static void
-want(Site *s, const char *gateway, const char *model, const char *adapter,
-     uint32_t waiting)
+report_waiting(Site *s, const char *gateway, const char *model,
+               const char *adapter, uint32_t waiting)
 {
-    say_demand(s, gateway, model, adapter, waiting, waiting);
+    report_demand(s, gateway, model, adapter, waiting, waiting);
 }
 
 static int
@@ -1156,7 +1176,8 @@
     return n;
 }
 
-/* A burst for one cold model reaches ten gateways at once: one load. */
+/* A burst of requests for one model that isn't loaded arrives at ten gateways
+   at once.  It causes one load. */
 static void
 test_placement_one_load_for_a_burst(void)
 {
@@ -1165,7 +1186,7 @@
     run_site(&s, 500, true);
     for (int i = 0; i < 10; i++) {
         g_autofree char *name = g_strdup_printf("g%d", i);
-        want(&s, name, "m0", NULL, i < 3 ? 1 : 0);
+        report_waiting(&s, name, "m0", NULL, i < 3 ? 1 : 0);
     }
     run_site(&s, 400, true);
     CU_ASSERT_EQUAL(count_loads(&s), 1);
@@ -1173,11 +1194,11 @@
 }
 
 static void
-test_placement_waits_for_its_right(void)
+test_placement_waits_until_it_may_order(void)
 {
     Site s;
     start_site(&s, 3);
-    want(&s, "g", "m0", NULL, 1);
+    report_waiting(&s, "g", "m0", NULL, 1);
     run_site(&s, 1000, false);
     CU_ASSERT_EQUAL(count_loads(&s), 0);
     run_site(&s, 1000, true);
@@ -1185,9 +1206,9 @@
     stop_site(&s);
 }
 
-/* More models than fit are asked for in turn, and every second answer to an
-   order is lost: no engine is ever loaded over its memory, and each model
-   comes in the end. */
+/* More models than fit are requested in turn, and every second answer to an
+   order is lost.  No engine is ever loaded over its memory, and each model is
+   loaded in the end. */
 static void
 test_placement_never_overcommits(void)
 {
@@ -1195,8 +1216,8 @@
     start_site(&s, 12);
     for (int i = 0; i < 36; i++) {
         g_autofree char *model = g_strdup_printf("m%d", i * 5 % 12);
-        s.lose = i % 2;
-        want(&s, "g", model, NULL, 1);
+        s.answers_to_lose = i % 2;
+        report_waiting(&s, "g", model, NULL, 1);
         run_site(&s, 1500, true);
         bool held = false;
         for (int e = 0; e < ENGINES; e++) {
@@ -1213,10 +1234,10 @@
     stop_site(&s);
 }
 
-/* A second unload soon after a first is turned away, as its upstream is still
-   at an order.  The model that was to make room must stay usable: left out of
-   use it would count as held, be missed by its callers, and never be loaded
-   again. */
+/* A second unload soon after a first is refused, as the upstream is still
+   carrying out an order.  The model that was to be evicted must stay usable.
+   Otherwise it would count as loaded, be unavailable to its callers, and never
+   be loaded again. */
 static void
 test_placement_after_refused_unload(void)
 {
@@ -1226,19 +1247,19 @@
         mp_on_removed(s.mp, s.engines[i].state->id);
     }
     Engine *e = &s.engines[0];
-    want(&s, "g", "m0", NULL, 1);
+    report_waiting(&s, "g", "m0", NULL, 1);
     run_site(&s, 1500, true);
-    want(&s, "g", "m1", NULL, 1);
+    report_waiting(&s, "g", "m1", NULL, 1);
     run_site(&s, 3500, true);
     CU_ASSERT_EQUAL(e->state->models->len, 2);
-    want(&s, "g", "m2", NULL, 1);
+    report_waiting(&s, "g", "m2", NULL, 1);
     run_site(&s, 900, true);
     CU_ASSERT_EQUAL(e->unloads, 1);
     s.refuse_unloads = true;
-    want(&s, "g", "m3", NULL, 1);
+    report_waiting(&s, "g", "m3", NULL, 1);
     run_site(&s, 100, true);
     CU_ASSERT(s.refused > 0);
-    want(&s, "g", "m4", NULL, 0);
+    report_waiting(&s, "g", "m4", NULL, 0);
     run_site(&s, 300, false);
     for (guint i = 0; i < e->state->models->len; i++) {
         const DepResident *r = e->state->models->pdata[i];
@@ -1247,7 +1268,8 @@
     stop_site(&s);
 }
 
-/* The same for adapters, of which an engine has room for eight. */
+/* The same as test_placement_never_overcommits for adapters, of which an
+   engine can hold eight. */
 static void
 test_placement_of_adapters(void)
 {
@@ -1255,21 +1277,21 @@
     start_site(&s, 2);
     for (int i = 0; i < 120; i++) {
         g_autofree char *adapter = g_strdup_printf("a%d", i % 30);
-        s.lose = i % 7 == 0;
-        want(&s, "g", i % 2 ? "m0" : "m1", adapter, 1);
+        s.answers_to_lose = i % 7 == 0;
+        report_waiting(&s, "g", i % 2 ? "m0" : "m1", adapter, 1);
         run_site(&s, 400, true);
     }
     stop_site(&s);
 }
 
-/* The upstream of a model that is in use says that it leaves: the model is
-   loaded elsewhere before anybody misses it. */
+/* The upstream of a model in use announces that it drains.  The model is
+   loaded elsewhere before a request misses it. */
 static void
-test_placement_moves_on_notice(void)
+test_placement_replaces_draining(void)
 {
     Site s;
     start_site(&s, 3);
-    want(&s, "g", "m0", NULL, 1);
+    report_waiting(&s, "g", "m0", NULL, 1);
     run_site(&s, 1500, true);
     CU_ASSERT_EQUAL(count_loads(&s), 1);
     for (int i = 0; i < ENGINES; i++) {
@@ -1278,22 +1300,23 @@
             mp_on_entry(s.mp, s.now_ms, s.engines[i].state);
         }
     }
-    want(&s, "g", "m0", NULL, 0);
+    report_waiting(&s, "g", "m0", NULL, 0);
     run_site(&s, 1000, true);
     CU_ASSERT_EQUAL(count_loads(&s), 2);
     stop_site(&s);
 }
 
-/* The only holder of a model in use crashes, and its entry stays for seconds.
-   Calls break off, gateways say so; the model must be loaded from the copy
-   beside another upstream at once, not when the entry lapses.  The crashed
-   one is back later with nothing loaded: it is asked until it answers. */
+/* The only upstream with a model in use crashes, and its entry stays in the
+   store for seconds.  Calls break off, and gateways report that.  The model
+   must be loaded at once from the cached weights of another upstream, not when
+   the entry expires.  The crashed one comes back later with nothing loaded:
+   reports are requested until it answers. */
 static void
-test_placement_replaces_the_unreachable(void)
+test_placement_replaces_unreachable(void)
 {
     Site s;
     start_site(&s, 3);
-    want(&s, "g", "m0", NULL, 1);
+    report_waiting(&s, "g", "m0", NULL, 1);
     run_site(&s, 1500, true);
     int at = 0;
     while (at < ENGINES - 1 &&
@@ -1309,7 +1332,7 @@
     mp_on_entry(s.mp, s.now_ms, other->state);
     holder->down = true;
     mp_on_suspected(s.mp, s.now_ms, holder->state->id);
-    want(&s, "g", "m0", NULL, 1);
+    report_waiting(&s, "g", "m0", NULL, 1);
     run_site(&s, 700, true);
     CU_ASSERT_PTR_NOT_NULL(dep_find_resident(other->state->models, "m0"));
     CU_ASSERT_EQUAL(count_loads(&s), 2);
@@ -1321,19 +1344,19 @@
     stop_site(&s);
 }
 
-#define MANY 1000
+#define MANY_UPSTREAMS 1000
 
 typedef struct {
-    GPtrArray *open; /* ids, borrowed */
-    guint most;
-} Questions;
+    GPtrArray *open; /* ids of upstreams, borrowed */
+    guint max_open;
+} PendingReports;
 
 static void
-note_question(void *ctx, const DepUpstream *of)
+record_report_request(void *ctx, const DepUpstream *of)
 {
-    Questions *q = ctx;
+    PendingReports *q = ctx;
     g_ptr_array_add(q->open, of->id);
-    q->most = MAX(q->most, q->open->len);
+    q->max_open = MAX(q->max_open, q->open->len);
 }
 
 static void
@@ -1343,7 +1366,7 @@
 }
 
 static void
-ignore_placed(void *ctx, const char *upstream, const GPtrArray *models)
+ignore_publish(void *ctx, const char *upstream, const GPtrArray *models)
 {
     (void)ctx;
     (void)upstream;
@@ -1363,22 +1386,24 @@
     return c;
 }
 
-/* Guards against a placing VM that takes a thousand upstreams for away, since
-   it asked all of them at once and was late for their answers. */
+/* Guards against a leader that takes a thousand upstreams for unreachable,
+   because it requested all their reports at once and handled the answers too
+   late. */
 static void
-test_placement_asks_a_few_at_a_time(void)
+test_placement_limits_report_requests(void)
 {
     g_autoptr(GPtrArray) open = g_ptr_array_new();
-    Questions q = {open, 0};
-    MpOutput out = {
-        .ctx = &q, .request_report = note_question, .publish = ignore_placed};
+    PendingReports q = {open, 0};
+    MpOutput out = {.ctx = &q,
+                    .request_report = record_report_request,
+                    .publish = ignore_publish};
     MpParams params = {false};
     Mp *m = mp_create(&params, &out);
     DepConfig *c = make_small_config();
     mp_on_config(m, c);
     g_autoptr(GPtrArray) states =
         g_ptr_array_new_with_free_func(free_upstream);
-    for (int i = 0; i < MANY; i++) {
+    for (int i = 0; i < MANY_UPSTREAMS; i++) {
         g_autofree char *id = g_strdup_printf("u%d", i);
         g_ptr_array_add(states, make_upstream(id, "s", NULL));
         mp_on_entry(m, 1, states->pdata[i]);
@@ -1393,8 +1418,8 @@
             mp_on_report(m, now_ms + 5, id, states->pdata[atoi(id + 1)]);
         }
     }
-    CU_ASSERT(q.most <= 100);
-    CU_ASSERT_EQUAL(g_hash_table_size(answered), MANY);
+    CU_ASSERT(q.max_open <= 100);
+    CU_ASSERT_EQUAL(g_hash_table_size(answered), MANY_UPSTREAMS);
     mp_destroy(m);
     dep_unref_config(c);
 }
@@ -1413,7 +1438,7 @@
 } SeenLoad;
 
 static void
-see_load(void *ctx, const char *upstream, const MpLoad *load)
+record_load(void *ctx, const char *upstream, const MpLoad *load)
 {
     SeenLoad *seen = ctx;
     if (strcmp(upstream, "u0") == 0) {
@@ -1422,11 +1447,12 @@
     }
 }
 
-/* Twenty requests wait on an upstream that begins five a second; two gateways
-   say so.  One that came now would wait for four seconds: all gateways have to
-   hear that, since none of them sees more than its own part. */
+/* Twenty requests are queued on an upstream that begins five a second, as two
+   gateways report.  A new request would wait for four seconds.  All gateways
+   need this estimate, since each of them sees only its own part of the
+   queue. */
 static void
-test_placement_tells_of_queues(void)
+test_placement_publishes_queue_waits(void)
 {
     Site s;
     start_site(&s, 3);
@@ -1439,25 +1465,25 @@
             if (g == 0) {
                 dm_add_began(d, "u0", 1);
             }
-            take_demand(&s, g ? "g1" : "g0", d);
+            apply_demand(&s, g ? "g1" : "g0", d);
         }
         run_site(&s, 200, true);
-        mp_visit_loads(s.mp, s.now_ms, see_load, &seen);
+        mp_visit_loads(s.mp, s.now_ms, record_load, &seen);
     }
     CU_ASSERT_EQUAL(seen.running, 28);
     CU_ASSERT(seen.wait_ms > 3500 && seen.wait_ms < 4500);
     stop_site(&s);
 }
 
-/* A model rises; its one replica serves what it can, gateways refuse the
-   rest, so that hardly anything waits.  The refused count as its load, or it
-   would look served and get no second replica. */
+/* Demand for a model rises.  Its one replica serves what it can, and gateways
+   refuse the rest, so hardly any request is queued.  The refused requests must
+   count as load, or the model would look served and get no second replica. */
 static void
-test_placement_counts_the_refused(void)
+test_placement_counts_refused_requests(void)
 {
     Site s;
     start_site(&s, 3);
-    want(&s, "g", "m0", NULL, 1);
+    report_waiting(&s, "g", "m0", NULL, 1);
     run_site(&s, 1500, true);
     CU_ASSERT_EQUAL(count_loads(&s), 1);
     for (int i = 0; i < 10; i++) {
@@ -1465,7 +1491,7 @@
         DmModelDemand *w = dm_add_model_demand(d, "m0", NULL);
         w->running = 5;
         w->refused = 10;
-        take_demand(&s, "g", d);
+        apply_demand(&s, "g", d);
         run_site(&s, 200, true);
     }
     CU_ASSERT(count_loads(&s) >= 3);
@@ -1475,7 +1501,7 @@
 #define STORE_LOAD_MS 6000
 
 static void
-note_wait(void *ctx, const char *model, uint32_t wait_ms)
+record_wait(void *ctx, const char *model, uint32_t wait_ms)
 {
     if (strcmp(model, "m7") == 0) {
         *(uint32_t *)ctx = wait_ms;
@@ -1497,111 +1523,111 @@
 }
 
 static void
-want_many(Site *s)
+report_waiting_for_all(Site *s)
 {
     for (int i = 0; i < 8; i++) {
         g_autofree char *gateway = g_strdup_printf("g%d", i);
         g_autofree char *model = g_strdup_printf("m%d", i);
-        say_demand(s, gateway, model, NULL, 1, 0);
+        report_demand(s, gateway, model, NULL, 1, 0);
     }
 }
 
-/* The weight store serves one load at full speed and shares its rate among
-   more.  Eight models are asked for at once: they are taken one by one, a
-   second is tried once beside the end of the first, and found to make it late.
-   Four begun together would all have come after four times their time. */
+/* The weight store serves one load at full speed and divides its rate among
+   more.  Eight models are requested at once.  They are loaded one by one; a
+   second load is tried once near the end of the first and found to delay it.
+   Four that started together would all have taken four times as long. */
 static void
-test_placement_learns_a_narrow_store(void)
+test_placement_learns_serial_store(void)
 {
     Site s;
     start_store_site(&s);
-    s.store_serves = 1;
-    int together_ms = 0;
+    s.store_concurrency = 1;
+    int overlap_ms = 0;
     uint64_t end_ms = s.now_ms + 8 * (STORE_LOAD_MS + 500);
     while (s.now_ms < end_ms) {
-        want_many(&s);
+        report_waiting_for_all(&s);
         run_site(&s, STEP_MS, true);
-        together_ms += count_loading(&s) > 1 ? STEP_MS : 0;
+        overlap_ms += count_loading(&s) > 1 ? STEP_MS : 0;
         CU_ASSERT(count_loading(&s) <= 2);
     }
-    CU_ASSERT(together_ms <= STORE_LOAD_MS * 2 / 3);
+    CU_ASSERT(overlap_ms <= STORE_LOAD_MS * 2 / 3);
     CU_ASSERT(count_loads(&s) >= 7);
     stop_site(&s);
 }
 
-/* A VM begins to place while a load that the former ordered is under way, and
-   knows only that its upstream is at an order.  Nothing is begun beside it:
-   the store serves one at full speed, and the wanted model would come no
-   sooner. */
+/* A VM becomes leader while a load ordered by the former leader is in
+   progress, and knows only that the upstream is carrying out an order.  It
+   starts no other load meanwhile: the store serves one at full speed, so the
+   model in demand would be loaded no sooner. */
 static void
-test_placement_waits_for_a_former_load(void)
+test_placement_waits_for_former_leaders_load(void)
 {
     Site s;
     start_store_site(&s);
-    s.store_serves = 1;
+    s.store_concurrency = 1;
     Engine *e = &s.engines[0];
-    e->coming = g_strdup("m0");
+    e->loading = g_strdup("m0");
     e->left_ms = 4000;
     e->used_mb = MODEL_MB;
     e->state->sequence = 1;
     run_site(&s, 600, false);
-    say_demand(&s, "g", "m1", NULL, 1, 0);
+    report_demand(&s, "g", "m1", NULL, 1, 0);
     run_site(&s, 1500, true);
     CU_ASSERT_EQUAL(count_loads(&s), 0);
     stop_site(&s);
 }
 
-/* Eight models need a store that loads one at a time.  Callers of the last are
-   to hear at once that it takes many times one load, each time that they are
-   told anything: without an estimate they would be held to their deadline. */
+/* Eight models need a store that loads one at a time.  Each update must say
+   that the last of them takes many times one load.  Without an estimate its
+   callers would be held until their deadline. */
 static void
-test_placement_always_estimates(void)
+test_placement_always_estimates_wait(void)
 {
     Site s;
     start_store_site(&s);
-    s.store_serves = 1;
+    s.store_concurrency = 1;
     for (int i = 0; i < 20; i++) {
-        want_many(&s);
+        report_waiting_for_all(&s);
         run_site(&s, 100, true);
         uint32_t wait_ms = 0;
-        mp_visit_waits(s.mp, s.now_ms, note_wait, &wait_ms);
+        mp_visit_waits(s.mp, s.now_ms, record_wait, &wait_ms);
         CU_ASSERT(wait_ms >= 2 * STORE_LOAD_MS);
     }
     stop_site(&s);
 }
 
-/* A store that serves many at full speed is found out from the loads that
-   come in time; the VM that places next begins with what was learnt. */
+/* A store that serves many loads at full speed is recognised by loads that
+   finish in time.  The next leader starts from the former one's estimate. */
 static void
-test_placement_learns_a_wide_store(void)
+test_placement_learns_parallel_store(void)
 {
     Site s;
     start_store_site(&s);
-    int most = 0;
+    int max_loading = 0;
     uint64_t end_ms = s.now_ms + 2 * STORE_LOAD_MS;
     while (s.now_ms < end_ms) {
-        want_many(&s);
+        report_waiting_for_all(&s);
         run_site(&s, STEP_MS, true);
-        most = MAX(most, count_loading(&s));
+        max_loading = MAX(max_loading, count_loading(&s));
     }
-    CU_ASSERT(most >= 3);
+    CU_ASSERT(max_loading >= 3);
     MpStoreLimits learnt = mp_get_store_limits(s.mp);
     CU_ASSERT(learnt.at_once >= 3);
     stop_site(&s);
     start_store_site(&s);
     mp_set_store_limits(s.mp, learnt);
-    want_many(&s);
+    report_waiting_for_all(&s);
     run_site(&s, 300, true);
     CU_ASSERT(count_loads(&s) >= 3);
     stop_site(&s);
 }
 
-/* An upstream writes its entry anew at each heartbeat and after each order,
-   with a number that counts these.  Taken for orders of somebody else it made
-   its content doubted after each load: callers waited for a question and its
-   answer, 0.4 s, longer than they waited for the load itself. */
+/* An upstream rewrites its entry at each heartbeat and after each order, with
+   a number that counts these writes.  Guards against taking them for orders of
+   another leader: its content was then suspected after each load, and callers
+   waited 0.4 s for a report, longer than for the load itself. */
 static void
-test_placement_heartbeats_are_no_orders(void)
+test_placement_heartbeats_are_not_orders(void)
 {
     Site s;
     start_site(&s, 3);
@@ -1609,13 +1635,13 @@
         g_ptr_array_add(s.engines[i].state->on_disk, g_strdup("m0"));
     }
     run_site(&s, 200, true);
-    want(&s, "g", "m0", NULL, 1);
+    report_waiting(&s, "g", "m0", NULL, 1);
     run_site(&s, 100, true);
     Engine *e = NULL;
     for (int i = 0; i < ENGINES; i++) {
         Engine *x = &s.engines[i];
-        e = x->coming ? x : e;
-        x->asks = 0;
+        e = x->loading ? x : e;
+        x->report_requests = 0;
         DepUpstream *entry = make_upstream(x->state->id, "s", NULL);
         entry->sequence = 9;
         mp_on_entry(s.mp, s.now_ms, entry);
@@ -1624,14 +1650,15 @@
     CU_ASSERT_PTR_NOT_NULL_FATAL(e);
     run_site(&s, LOAD_MS, true);
     CU_ASSERT(g_hash_table_contains(e->usable, "m0"));
-    CU_ASSERT_EQUAL(e->asks, 0);
+    CU_ASSERT_EQUAL(e->report_requests, 0);
     stop_site(&s);
 }
 
-/* An order of a VM that placed before acts seconds late and loads a model that
-   nobody expects: the entry shows it, and the upstream is asked. */
+/* An order of a former leader takes effect seconds late and loads a model that
+   the leader does not expect.  The upstream's entry shows it, and a report is
+   requested. */
 static void
-test_placement_looks_into_a_strange_entry(void)
+test_placement_checks_unexpected_entry(void)
 {
     Site s;
     start_site(&s, 3);
@@ -1646,44 +1673,45 @@
     stop_site(&s);
 }
 
-/* A patient caller waits for a rare model; then a model that twenty callers a
-   second ask for loses its last replica, and these are refused at once, since
-   a load from the weight store takes longer than they stay.  The store serves
-   one load, and it has to be the second model's: in the order of those that
-   wait it was loaded after each rare model, 27 s later. */
+/* A caller with a long deadline waits for a rare model.  Then a model with
+   twenty requests a second loses its last replica, and these are refused at
+   once, since a load from the weight store takes longer than they can wait.
+   The store serves one load, which must be that of the second model.  In the
+   order of waiting requests it was loaded after each rare model, 27 s
+   later. */
 static void
-test_placement_counts_whom_it_misses(void)
+test_placement_prefers_higher_arrival_rate(void)
 {
     Site s;
     start_store_site(&s);
     run_site(&s, 200, false);
     for (int i = 0; i < 10; i++) {
-        say_demand(&s, "g0", "m0", NULL, 1, 0);
-        say_demand(&s, "g1", "m1", NULL, 0, 4);
+        report_demand(&s, "g0", "m0", NULL, 1, 0);
+        report_demand(&s, "g1", "m1", NULL, 0, 4);
         run_site(&s, 200, i == 9);
     }
     CU_ASSERT_EQUAL(count_loads(&s), 1);
     for (int i = 0; i < ENGINES; i++) {
         const Engine *e = &s.engines[i];
-        CU_ASSERT(!e->coming || strcmp(e->coming, "m1") == 0);
+        CU_ASSERT(!e->loading || strcmp(e->loading, "m1") == 0);
     }
     stop_site(&s);
 }
 
-/* All upstreams are full of models that nobody uses just now, and each is
-   asked for a report.  A model that is missed then finds room at once: what
-   is idle is no newer for having been reported. */
+/* All upstreams are full of idle models, and a report of each is requested.  A
+   model in demand then gets a slot at once: a report must not make idle models
+   count as recently used. */
 static void
-test_placement_room_after_reports(void)
+test_placement_evicts_idle_after_reports(void)
 {
     Site s;
     start_site(&s, 9);
     for (int i = 0; i < 8; i++) {
         g_autofree char *model = g_strdup_printf("m%d", i);
-        want(&s, "g", model, NULL, 1);
+        report_waiting(&s, "g", model, NULL, 1);
         run_site(&s, 1000, true);
     }
-    want(&s, "g", "m7", NULL, 0);
+    report_waiting(&s, "g", "m7", NULL, 0);
     run_site(&s, 1500, true);
     int before = count_loads(&s);
     CU_ASSERT_EQUAL(before, 8);
@@ -1691,17 +1719,18 @@
         mp_on_suspected(s.mp, s.now_ms, s.engines[i].state->id);
     }
     run_site(&s, 60, true);
-    want(&s, "g", "m8", NULL, 1);
+    report_waiting(&s, "g", "m8", NULL, 1);
     run_site(&s, 200, true);
     CU_ASSERT_EQUAL(count_loads(&s), before + 1);
     stop_site(&s);
 }
 
-/* A gateway that is cut off waits for a model that others have long had.  Its
-   upstream is asked, now and then, but goes on to be used: doubted at each
-   look it took no order for twenty seconds, and new models found less room. */
+/* A gateway that is cut off waits for a model that was loaded long ago.
+   Reports of its upstream are requested now and then, but it stays in use.
+   Guards against suspecting it at each check: it then got no order for twenty
+   seconds, and new models found fewer slots. */
 static void
-test_placement_doubt_keeps_in_use(void)
+test_placement_suspicion_keeps_upstream_in_use(void)
 {
     Site s;
     start_site(&s, 3);
@@ -1709,24 +1738,24 @@
         mp_on_removed(s.mp, s.engines[i].state->id);
     }
     Engine *e = &s.engines[0];
-    want(&s, "g", "m0", NULL, 1);
+    report_waiting(&s, "g", "m0", NULL, 1);
     run_site(&s, 1500, true);
-    e->asks = 0;
+    e->report_requests = 0;
     for (int i = 0; i < 10; i++) {
-        want(&s, "cut", "m0", NULL, 1);
+        report_waiting(&s, "cut", "m0", NULL, 1);
         run_site(&s, 200, true);
     }
-    CU_ASSERT(e->asks >= 1 && e->asks <= 3);
-    want(&s, "g", "m1", NULL, 1);
+    CU_ASSERT(e->report_requests >= 1 && e->report_requests <= 3);
+    report_waiting(&s, "g", "m1", NULL, 1);
     run_site(&s, 80, true);
     CU_ASSERT_EQUAL(e->loads, 2);
     stop_site(&s);
 }
 
-/* SLOW: each of them is about to come late. */
+/* SLOW: each of the requests is about to be late. */
 static void
-say_uses(Site *s, const char *gateway, const char *model, uint32_t running,
-         uint32_t arrived, bool slow)
+report_uses(Site *s, const char *gateway, const char *model, uint32_t running,
+            uint32_t arrived, bool slow)
 {
     DmDemand *d = dm_create_demand(true);
     DmModelDemand *w = dm_add_model_demand(d, model, NULL);
@@ -1740,18 +1769,18 @@
             u->slow = slow;
         }
     }
-    take_demand(s, gateway, d);
+    apply_demand(s, gateway, d);
 }
 
 static void
-say_running(Site *s, const char *gateway, const char *model, uint32_t running,
-            uint32_t arrived)
+report_running(Site *s, const char *gateway, const char *model,
+               uint32_t running, uint32_t arrived)
 {
-    say_uses(s, gateway, model, running, arrived, false);
+    report_uses(s, gateway, model, running, arrived, false);
 }
 
 static int
-count_holders(const Site *s, const char *model)
+count_replicas(const Site *s, const char *model)
 {
     int n = 0;
     for (int i = 0; i < ENGINES; i++) {
@@ -1760,56 +1789,56 @@
     return n;
 }
 
-/* Seven models hold all other places and are asked for once a second each;
-   an eighth rises until 36 requests at once press its one replica, where twice
-   what it serves well makes nearly all answers late.  It takes the place of
-   others, whose few callers have time for a load, until it has enough. */
+/* Seven models hold all other slots and get one request a second each.  The
+   load of an eighth rises to 36 concurrent requests on its one replica, where
+   twice what it serves well makes nearly all answers late.  It takes slots of
+   the others, whose few callers have time for a load, until it has enough. */
 static void
-test_placement_risen_model_gets_places(void)
+test_placement_popular_model_gets_slots(void)
 {
     Site s;
     start_site(&s, 8);
     for (int i = 0; i < 8; i++) {
         g_autofree char *model = g_strdup_printf("m%d", i);
-        want(&s, model, model, NULL, 1);
+        report_waiting(&s, model, model, NULL, 1);
         run_site(&s, 1000, true);
     }
-    CU_ASSERT_EQUAL(count_holders(&s, "m0"), 1);
+    CU_ASSERT_EQUAL(count_replicas(&s, "m0"), 1);
     for (int t = 0; t < 20; t++) {
-        say_running(&s, "m0", "m0", 36, 10);
+        report_running(&s, "m0", "m0", 36, 10);
         for (int i = 1; i < 8 && t % 5 == 0; i++) {
             g_autofree char *model = g_strdup_printf("m%d", i);
-            say_running(&s, model, model, 0, 1);
+            report_running(&s, model, model, 0, 1);
         }
         run_site(&s, 200, true);
     }
-    CU_ASSERT(count_holders(&s, "m0") >= 2);
-    CU_ASSERT(count_holders(&s, "m0") <= 3);
+    CU_ASSERT(count_replicas(&s, "m0") >= 2);
+    CU_ASSERT(count_replicas(&s, "m0") <= 3);
     stop_site(&s);
 }
 
-/* Guards against a model that takes the places of others although its few
-   requests are slow for another reason than too many beside them. */
+/* Guards against a model that takes slots of others although its few requests
+   are slow for another reason than too many concurrent ones. */
 static void
-test_placement_few_slow_take_no_places(void)
+test_placement_few_slow_requests_take_no_slots(void)
 {
     Site s;
     start_site(&s, 8);
     for (int i = 0; i < 8; i++) {
         g_autofree char *model = g_strdup_printf("m%d", i);
-        want(&s, model, model, NULL, 1);
+        report_waiting(&s, model, model, NULL, 1);
         run_site(&s, 1000, true);
     }
     int before = count_loads(&s);
     for (int t = 0; t < 50; t++) {
-        say_uses(&s, "m0", "m0", 6, 1, true);
+        report_uses(&s, "m0", "m0", 6, 1, true);
         for (int i = 1; i < 8 && t % 5 == 0; i++) {
             g_autofree char *model = g_strdup_printf("m%d", i);
-            say_running(&s, model, model, 0, 1);
+            report_running(&s, model, model, 0, 1);
         }
         run_site(&s, 200, true);
     }
-    CU_ASSERT_EQUAL(count_holders(&s, "m0"), 1);
+    CU_ASSERT_EQUAL(count_replicas(&s, "m0"), 1);
     CU_ASSERT_EQUAL(count_loads(&s), before);
     stop_site(&s);
 }
@@ -1826,12 +1855,12 @@
     return cut_off;
 }
 
-/* Guards against a placing VM that gives its lease up since upstreams crashed:
-   nobody else reaches them either, and nobody orders until the rest is over.
-   Where others use them, or their data centre is out of reach as well, it is
-   a cut. */
+/* Guards against a leader that yields its lease because upstreams crashed: no
+   other VM reaches them either, and no orders are sent until the guard
+   interval is over.  If other gateways still use them, or their data centre is
+   out of reach as well, it is a network partition. */
 static void
-test_placement_tells_crash_from_cut(void)
+test_placement_tells_crash_from_partition(void)
 {
     Site s;
     start_site(&s, 3);
@@ -1845,16 +1874,16 @@
     CU_ASSERT_EQUAL(count_cut_off(&s, "elsewhere"), ENGINES - 1);
     DmDemand *d = dm_create_demand(true);
     dm_add_began(d, "u0", 1);
-    take_demand(&s, "g", d);
+    apply_demand(&s, "g", d);
     CU_ASSERT_EQUAL(count_cut_off(&s, s.engines[0].state->data_centre), 1);
     stop_site(&s);
 }
 
-/* Two models fill an upstream each and have replicas to spare; others have
-   free room.  A third model is loaded into that, and nothing is unloaded for
-   it. */
+/* Two models fill an upstream each and have replicas to spare; other upstreams
+   have free memory.  A third model is loaded there, and nothing is unloaded
+   for it. */
 static void
-test_placement_free_room_first(void)
+test_placement_uses_free_memory_first(void)
 {
     Site s;
     start_site(&s, 3);
@@ -1866,7 +1895,7 @@
         s.engines[i].used_mb = 2 * MODEL_MB;
     }
     run_site(&s, 1500, true);
-    want(&s, "g", "m2", NULL, 1);
+    report_waiting(&s, "g", "m2", NULL, 1);
     run_site(&s, 200, true);
     CU_ASSERT_EQUAL(count_loads(&s), 1);
     for (int i = 0; i < ENGINES; i++) {
@@ -1875,17 +1904,22 @@
     stop_site(&s);
 }
 
-/* Nine models, of which no upstream keeps a copy once they are unloaded, and
-   room for eight.  Nobody asks for them: one is missing and stays so.  Each
-   had taken the place of another in turn, all day long. */
+/* Nine models, room for eight, and no upstream keeps a local copy of the
+   weights of an unloaded model.  There are no requests: one model is not
+   loaded and stays so.  Guards against models that take each other's slots in
+   turn without end. */
 static void
-test_placement_without_copies_is_calm(void)
+test_placement_is_stable_without_local_copies(void)
 {
     Site s;
     start_site(&s, 9);
     MpParams p = {true};
-    MpOutput out = {&s,          site_order, site_ask,
-                    site_placed, site_away,  site_judged};
+    MpOutput out = {&s,
+                    site_order,
+                    site_request_report,
+                    site_publish,
+                    site_mark_unreachable,
+                    site_capacity_estimated};
     mp_destroy(s.mp);
     s.mp = mp_create(&p, &out);
     mp_on_config(s.mp, s.config);
@@ -1903,12 +1937,12 @@
     stop_site(&s);
 }
 
-/* All replicas are in use when a model rises.  The one that is to go gets no
-   new requests, and its unload is ordered when its last has ended: ordered at
-   once it would keep the upstream from all orders for as long, and the load
-   would be turned away again and again. */
+/* All replicas are in use when the load of another model rises.  The victim
+   gets no new requests, and its unload is ordered when its last request has
+   ended.  Ordered at once, the unload would keep the upstream from all other
+   orders until then, and the load would be refused again and again. */
 static void
-test_placement_victim_ends_its_requests(void)
+test_placement_victim_finishes_requests(void)
 {
     Site s;
     start_site(&s, 3);
@@ -1918,41 +1952,42 @@
     Engine *e = &s.engines[0];
     for (int i = 0; i < 2; i++) {
         g_autofree char *model = g_strdup_printf("m%d", i);
-        want(&s, "g", model, NULL, 1);
+        report_waiting(&s, "g", model, NULL, 1);
         run_site(&s, 1500, true);
     }
     CU_ASSERT_EQUAL(e->state->models->len, 2);
     for (int i = 0; i < 5; i++) {
-        say_running(&s, "g0", "m0", 1, 0);
-        say_running(&s, "g1", "m1", 1, 0);
-        say_demand(&s, "g2", "m2", NULL, 40, 8);
+        report_running(&s, "g0", "m0", 1, 0);
+        report_running(&s, "g1", "m1", 1, 0);
+        report_demand(&s, "g2", "m2", NULL, 40, 8);
         run_site(&s, 200, true);
     }
     CU_ASSERT_EQUAL(e->unloads, 0);
     CU_ASSERT_EQUAL(g_hash_table_size(e->usable), 1);
-    const char *stays = g_hash_table_contains(e->usable, "m0") ? "m0" : "m1";
-    const char *goes = strcmp(stays, "m0") == 0 ? "m1" : "m0";
-    say_running(&s, strcmp(goes, "m0") == 0 ? "g0" : "g1", goes, 0, 0);
+    const char *kept = g_hash_table_contains(e->usable, "m0") ? "m0" : "m1";
+    const char *victim = strcmp(kept, "m0") == 0 ? "m1" : "m0";
+    report_running(&s, strcmp(victim, "m0") == 0 ? "g0" : "g1", victim, 0, 0);
     run_site(&s, 400, true);
-    CU_ASSERT_PTR_NULL(dep_find_resident(e->state->models, goes));
+    CU_ASSERT_PTR_NULL(dep_find_resident(e->state->models, victim));
     CU_ASSERT_EQUAL(e->loads, 3);
     stop_site(&s);
 }
 
-/* A load from the weight store comes in its time, and one that had just begun
-   was beside it at its end.  That tells nothing of two at once: counted so, up
-   to eight were begun side by side at a store that serves four, took twice
-   their time, and kept their upstreams from all other orders. */
+/* A load from the weight store finishes in time; another had just started
+   before it ended.  That says nothing about two at once.  Guards against
+   counting it: up to eight loads were started together at a store that serves
+   four, took twice their time, and kept their upstreams from all other
+   orders. */
 static void
-test_placement_learns_from_loads_beside(void)
+test_placement_ignores_brief_overlap(void)
 {
     Site s;
     start_store_site(&s);
     mp_set_store_limits(s.mp, (MpStoreLimits){.at_once = 2, .most = 0});
     run_site(&s, 100, true);
     for (int t = 0; t < 8; t++) {
-        say_demand(&s, "g0", "m0", NULL, 1, 0);
-        say_demand(&s, "g1", "m1", NULL, t >= 5, 0);
+        report_demand(&s, "g0", "m0", NULL, 1, 0);
+        report_demand(&s, "g1", "m1", NULL, t >= 5, 0);
         run_site(&s, 1000, true);
         CU_ASSERT(mp_get_store_limits(s.mp).at_once == 2);
     }
@@ -1960,18 +1995,19 @@
     stop_site(&s);
 }
 
-/* The store serves two at full speed.  Four that were begun together come
-   after twice their time: two is learnt from that at once, not by halves. */
+/* The store serves two loads at full speed.  Four that started together take
+   twice their time.  The limit of two follows from that at once, not by
+   halving. */
 static void
-test_placement_learns_from_lateness(void)
+test_placement_learns_from_late_loads(void)
 {
     Site s;
     start_store_site(&s);
-    s.store_serves = 2;
+    s.store_concurrency = 2;
     mp_set_store_limits(s.mp, (MpStoreLimits){.at_once = 4, .most = 0});
     run_site(&s, 100, true);
     for (int t = 0; t < 14; t++) {
-        want_many(&s);
+        report_waiting_for_all(&s);
         run_site(&s, 1000, true);
     }
     CU_ASSERT_EQUAL(mp_get_store_limits(s.mp).most, 2);
@@ -2007,62 +2043,70 @@
 main(void)
 {
     static const CU_TestInfo tests[] = {
-        {"first holder", test_lease_first_holder},
-        {"lease moves on", test_lease_moves_on},
-        {"lease of a sleeper", test_lease_of_a_sleeper},
+        {"first leader", test_lease_first_leader},
+        {"lease failover", test_lease_failover},
+        {"lease expires while suspended", test_lease_expires_while_suspended},
         {"lease in random schedules", test_lease_random_schedules},
-        {"rest begins with the last order",
-         test_lease_rest_begins_with_the_last_order},
+        {"guard interval starts at last order",
+         test_lease_guard_starts_at_last_order},
         {"lease after restart", test_lease_after_restart},
-        {"lease given up", test_lease_given_up},
-        {"lease given up in a renewal", test_lease_given_up_in_a_renewal},
-        {"lease of a leaver", test_lease_of_a_leaver},
-        {"lease tells the fleet", test_lease_tells_the_fleet},
+        {"lease yielded", test_lease_yielded},
+        {"lease yielded during renewal", test_lease_yielded_during_renewal},
+        {"lease during shutdown", test_lease_during_shutdown},
+        {"lease carries fleet size", test_lease_carries_fleet_size},
         {"budget in every window", test_budget_in_every_window},
-        {"budget remembers gateways", test_budget_remembers_gateways},
-        {"choice spreads", test_choice_spreads},
-        {"choice shuns what fails", test_choice_shuns_what_fails},
-        {"choice rests the dead", test_choice_rests_the_dead},
-        {"choice probes the only holder", test_choice_probes_the_only_holder},
-        {"choice leaves what is told away",
-         test_choice_leaves_what_is_told_away},
-        {"choice doubts the restarted", test_choice_doubts_the_restarted},
-        {"choice keeps what was told", test_choice_keeps_what_was_told},
-        {"choice leaves long queues alone",
-         test_choice_leaves_long_queues_alone},
+        {"budget keeps share of lost gateways",
+         test_budget_keeps_share_of_lost_gateways},
+        {"choice balances load", test_choice_balances_load},
+        {"choice avoids failing upstream", test_choice_avoids_failing},
+        {"choice backs off unreachable upstream",
+         test_choice_backs_off_unreachable},
+        {"choice probes only replica", test_choice_probes_only_replica},
+        {"choice avoids reported unreachable",
+         test_choice_avoids_reported_unreachable},
+        {"choice after upstream restart", test_choice_after_upstream_restart},
+        {"choice keeps last placement", test_choice_keeps_last_placement},
+        {"choice avoids long queues", test_choice_avoids_long_queues},
         {"choice by model", test_choice_by_model},
-        {"choice after absence", test_choice_after_absence},
-        {"prompts together", test_choice_keeps_prompts_together},
-        {"reborn", test_choice_reborn},
+        {"choice after missing model", test_choice_after_missing_model},
+        {"choice prefix affinity", test_choice_prefix_affinity},
+        {"choice replaced upstream", test_choice_replaced_upstream},
         {"one load for a burst", test_placement_one_load_for_a_burst},
-        {"waits for its right", test_placement_waits_for_its_right},
+        {"waits until it may order", test_placement_waits_until_it_may_order},
         {"never overcommits", test_placement_never_overcommits},
         {"after refused unload", test_placement_after_refused_unload},
         {"adapters", test_placement_of_adapters},
-        {"moves on notice", test_placement_moves_on_notice},
-        {"replaces the unreachable", test_placement_replaces_the_unreachable},
-        {"asks a few at a time", test_placement_asks_a_few_at_a_time},
-        {"tells of queues", test_placement_tells_of_queues},
-        {"counts the refused", test_placement_counts_the_refused},
-        {"learns a narrow store", test_placement_learns_a_narrow_store},
-        {"waits for a former load", test_placement_waits_for_a_former_load},
-        {"always estimates", test_placement_always_estimates},
-        {"learns a wide store", test_placement_learns_a_wide_store},
-        {"heartbeats are no orders", test_placement_heartbeats_are_no_orders},
-        {"looks into a strange entry",
-         test_placement_looks_into_a_strange_entry},
-        {"counts whom it misses", test_placement_counts_whom_it_misses},
-        {"room after reports", test_placement_room_after_reports},
-        {"learns from loads beside", test_placement_learns_from_loads_beside},
-        {"learns from lateness", test_placement_learns_from_lateness},
-        {"doubt keeps in use", test_placement_doubt_keeps_in_use},
-        {"risen model gets places", test_placement_risen_model_gets_places},
-        {"few slow take no places", test_placement_few_slow_take_no_places},
-        {"tells crash from cut", test_placement_tells_crash_from_cut},
-        {"free room first", test_placement_free_room_first},
-        {"without copies is calm", test_placement_without_copies_is_calm},
-        {"victim ends its requests", test_placement_victim_ends_its_requests},
-        {"lag of a full link", test_lag_of_a_full_link},
+        {"replaces draining upstream", test_placement_replaces_draining},
+        {"replaces unreachable upstream", test_placement_replaces_unreachable},
+        {"limits report requests", test_placement_limits_report_requests},
+        {"publishes queue waits", test_placement_publishes_queue_waits},
+        {"counts refused requests", test_placement_counts_refused_requests},
+        {"learns serial store", test_placement_learns_serial_store},
+        {"waits for former leader's load",
+         test_placement_waits_for_former_leaders_load},
+        {"always estimates wait", test_placement_always_estimates_wait},
+        {"learns parallel store", test_placement_learns_parallel_store},
+        {"heartbeats are not orders",
+         test_placement_heartbeats_are_not_orders},
+        {"checks unexpected entry", test_placement_checks_unexpected_entry},
+        {"prefers higher arrival rate",
+         test_placement_prefers_higher_arrival_rate},
+        {"evicts idle after reports",
+         test_placement_evicts_idle_after_reports},
+        {"ignores brief overlap", test_placement_ignores_brief_overlap},
+        {"learns from late loads", test_placement_learns_from_late_loads},
+        {"suspicion keeps upstream in use",
+         test_placement_suspicion_keeps_upstream_in_use},
+        {"popular model gets slots", test_placement_popular_model_gets_slots},
+        {"few slow requests take no slots",
+         test_placement_few_slow_requests_take_no_slots},
+        {"tells crash from partition",
+         test_placement_tells_crash_from_partition},
+        {"uses free memory first", test_placement_uses_free_memory_first},
+        {"is stable without local copies",
+         test_placement_is_stable_without_local_copies},
+        {"victim finishes requests", test_placement_victim_finishes_requests},
+        {"lag of saturated link", test_lag_of_saturated_link},
         {"route split", test_route_split},
         CU_TEST_INFO_NULL};
     static CU_SuiteInfo suites[] = {
