--- a/tests/cluster.py
+++ b/tests/cluster.py
@@ -1,5 +1,5 @@
 """Starts the real processes and the stand-ins on loopback, for tests and
-the demo, and stops exactly what it started."""
+the demo.  Stops only the processes that it started."""
 
 import http.client
 import itertools
@@ -24,18 +24,18 @@
         "care": "kuura-care-key"}
 
 
-GIVEN_PORTS = []
+RESERVED_SOCKETS = []
 _ports = itertools.cycle(range(12000, 21000))
 for _ in range(os.getpid() * 37 % 9000):
     next(_ports)
 
 
 def free_port():
-    """A port nobody listens on now, from below the range that outgoing
-    connections take theirs from: one of those, made between this look and
-    the daemon's start, would keep it from listening.  Its UDP twin stays
-    bound as long as this run lives, so that a run beside it takes
-    another."""
+    """A port that nobody listens on now.  It is below the range of ports for
+    outgoing connections: one of those, opened between this check and the
+    daemon's start, would keep the daemon from listening.  The UDP socket of
+    the same number stays bound until this run exits, so that concurrent runs
+    take other ports."""
     while True:
         port = next(_ports)
         twin = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -46,12 +46,12 @@
         except OSError:
             twin.close()
             continue
-        GIVEN_PORTS.append(twin)
+        RESERVED_SOCKETS.append(twin)
         return port
 
 
 def wait_until(check, limit_s=15.0, what="condition"):
-    """Poll CHECK until it is true; a test's only way to wait."""
+    """Polls CHECK until it is true.  Tests wait only by this function."""
     until = time.monotonic() + limit_s
     while time.monotonic() < until:
         value = check()
@@ -76,7 +76,7 @@
 
 
 def call(port, method, path, doc=None, headers=None, timeout=40.0):
-    """One HTTP call; doc may be bytes or something to send as JSON."""
+    """One HTTP call.  DOC: bytes, or a value to send as JSON."""
     conn = http.client.HTTPConnection("127.0.0.1", port, timeout=timeout)
     try:
         body = doc if isinstance(doc, (bytes, type(None))) \
@@ -115,7 +115,7 @@
         self.log.close()
 
     def terminate(self, limit_s=20.0):
-        """SIGTERM; the exit code."""
+        """Sends SIGTERM and returns the exit code."""
         self.popen.terminate()
         code = self.popen.wait(limit_s)
         self.log.close()
@@ -130,7 +130,7 @@
 
 
 class Cluster:
-    """Stand-ins and VMs: a router and a placer each."""
+    """Stand-ins, and VMs with a router and a placer each."""
 
     def __init__(self, build, centres=("dc1", "dc2"), vms_per_centre=2,
                  engines=None, services=None, log_args=(), store_args=(),
@@ -172,12 +172,12 @@
                           str(self.port(name)), *map(str, args)])
 
     def address(self, name):
-        """Where others reach NAME: itself, or a proxy before it."""
+        """Address at which others reach NAME: its own, or that of its proxy."""
         return self.addresses.get(name,
                                   "127.0.0.1:%d" % self.port(name))
 
     def add_proxy(self, name, for_all=True):
-        """A fault proxy before NAME; call before start()."""
+        """Adds a fault proxy in front of NAME; call before start()."""
         proxy = name + "-proxy"
         self.proxies[name] = proxy
         if for_all:
@@ -185,8 +185,8 @@
         return "127.0.0.1:%d" % self.port(proxy)
 
     def add_log_proxy(self, centre):
-        """A fault proxy between CENTRE's VMs and the log; call before
-        start().  set_proxy("log-CENTRE", cut=True) cuts the centre off."""
+        """Adds a fault proxy between CENTRE's VMs and the log; call before
+        start().  set_proxy("log-CENTRE", cut=True) disconnects them."""
         name = "log-" + centre
         self.targets[name] = "log"
         return self.add_proxy(name)
@@ -196,8 +196,9 @@
         return self.address(name if name in self.proxies else "log")
 
     def bridge_address(self, name):
-        """Where placers of other data centres reach NAME.  bridge_proxies:
-        through its proxy, even if those of its own don't."""
+        """Address at which placers of other data centres reach NAME.  With
+        bridge_proxies it is that of NAME's proxy, even if processes of its
+        own data centre connect directly."""
         if self.bridge_proxies and name in self.proxies:
             return "127.0.0.1:%d" % self.port(self.proxies[name])
         return self.address(name)
@@ -280,8 +281,8 @@
         far = [p for c in self.centres if c != centre
                for p in self.placers(c)]
         if role == "router":
-            # Routers of a data centre lend each other parts of limits; the
-            # later one of a pair dials.
+            # Routers of a data centre lend each other shares of limits.  Of
+            # each pair, the one with the later name dials.
             near += [vm + "-router" for vm in self.vm_names()
                      if vm.startswith(centre + "-")
                      and vm + "-router" < name]
@@ -328,7 +329,8 @@
         self.start_daemon(vm, "router")
 
     def kill_vm(self, vm):
-        """The VM is gone at once; start_vm() brings an empty one."""
+        """Kills the VM's processes; start_vm() starts new ones without their
+        state."""
         for role in ("router", "placer"):
             self.procs[vm + "-" + role].kill()
 
@@ -337,7 +339,7 @@
                 for role in ("placer", "router")]
 
     def versions(self):
-        """Configuration version in force at each daemon that answers."""
+        """Configuration version in force at each daemon; None: no answer."""
         out = {}
         for name in self.daemons():
             try:
@@ -347,14 +349,15 @@
         return out
 
     def wait_in_force(self, version, limit_s=15.0):
-        """Seconds until VERSION is in force at every daemon."""
+        """Waits until VERSION is in force at every daemon; returns seconds."""
         start = time.monotonic()
         wait_until(lambda: set(self.versions().values()) == {version},
                    limit_s, "version %d everywhere" % version)
         return time.monotonic() - start
 
     def stop(self):
-        """Stop everything; fails if a daemon crashed by itself."""
+        """Stops everything.  Fails if a daemon crashed, or if a sanitizer
+        reported an error."""
         crashed = [p.name for p in self.procs.values()
                    if p.popen.poll() not in (None, 0, -signal.SIGKILL)
                    and "-vm" in p.name]
@@ -407,10 +410,10 @@
         try:
             return self.call(name, "GET", "/readyz").status == 200
         except OSError:
-            return False  # it does not listen yet
+            return False  # not listening yet
 
     def publish_changed(self, old, new):
-        """The Samiti's template again, with OLD replaced by NEW in it."""
+        """Revises the Samiti's template: replaces OLD by NEW in it."""
         s = os.path.join(ROOT, "samples")
         with open(s + "/samiti.ini", encoding="utf-8") as f:
             text = f.read()
@@ -491,14 +494,14 @@
 
 
 def expected_text(prompt, tokens):
-    """What the stand-in engine answers, whole."""
+    """The stand-in engine's complete answer."""
     import hashlib
     digest = hashlib.sha256(prompt.encode()).hexdigest()[:12]
     return digest + "".join(" t%d" % i for i in range(tokens)) + " end"
 
 
 def stream_text(body):
-    """The text of a streamed completion, and whether it ended whole."""
+    """The text of a streamed completion, and whether it ended by [DONE]."""
     text, whole = "", False
     for line in body.decode().split("\n"):
         if line == "data: [DONE]":
--- a/tests/fast_cluster.py
+++ b/tests/fast_cluster.py
@@ -1,5 +1,5 @@
-"""Real daemons over the fast stand-ins of bglade-load, at chosen sizes, for
-benches."""
+"""Real daemons with the fast stand-ins of bglade-load, in fleets of any size,
+for benchmarks."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 
 
 def read_cpu(pid):
-    """Processor seconds of a process so far, user and system."""
+    """CPU seconds of a process so far, user and system."""
     with open("/proc/%d/stat" % pid, encoding="ascii") as f:
         fields = f.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) * TICK_S
@@ -37,8 +37,8 @@
 
 
 def free_range(count):
-    """The first of COUNT ports in a row that nobody listens on now; old
-    connections that still linger on them do not count."""
+    """The first of COUNT consecutive ports that nobody listens on now.
+    Connections in TIME_WAIT on them do not matter."""
     for first in range(21000 + os.getpid() % 97 * 100, 31900, 50):
         try:
             for port in range(first, first + count):
@@ -77,7 +77,8 @@
 
 
 class FastCluster(Cluster):
-    """ENGINES engines in each data centre, all in one process a centre."""
+    """A Cluster with ENGINES engines in each data centre, all of which run in
+    one process."""
 
     def __init__(self, build, centres=("dc1",), vms_per_centre=2, engines=4,
                  engine_args=(), log_args=(), settings=None, http_threads=256):
@@ -154,7 +155,7 @@
         return call(self.port("log"), "GET", "/test/state").json()
 
     def load(self, to, *args, key=KEY):
-        """Run the load tool against NAMES (or IP:PORT texts)."""
+        """Runs the load tool against TO: names or IP:PORT strings."""
         targets = ",".join(t if ":" in t else "127.0.0.1:%d" % self.port(t)
                            for t in to)
         res = subprocess.run([self.tool, "run", "--json", "--to", targets,
@@ -166,14 +167,14 @@
         return json.loads(res.stdout)
 
     def warm(self, router, models):
-        """Load MODELS, one request each."""
+        """Loads MODELS by one request each."""
         for m in models:
             out = self.load([router], "--models", m, "--requests", 1)
             assert out["answered"] == 1, out
 
 
 class Window:
-    """Counts what processes use between its start and its end."""
+    """Context manager that measures the resources processes use inside it."""
 
     METRICS = ("peer_sent_bytes_total", "http_sent_bytes_total",
                "http_got_bytes_total", "http_calls_total")
@@ -207,6 +208,6 @@
         return out
 
     def rate(self, names, key):
-        """Mean over NAMES, each second."""
+        """Mean over NAMES, per second."""
         return sum(self.used[n][key] for n in names) / len(names) \
             / self.seconds
