--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -1,12 +1,21 @@
 """Stand-in for the platform's append-only log service.
 
-POST /v1/append, GET /v1/records; see src/lc.h.  PUT /test/faults takes
-{"down", "slow_ms", "drop_acks", "keep", "hold_appends"}: down refuses
-everything, drop_acks lets that many appends take effect and then closes
-the connection, keep is how many records retention leaves; damage spoils
-that many reads' first records on their way out (another byte each time), shuffle reorders the records
-of that many reads.  reads_down refuses reads only; page is the most records of one read; down_after_appends turns down on after that many appends.  PUT /test/expire lets retention take all records, PUT
-/test/reset begins a new log.
+POST /v1/append, GET /v1/records; see src/lc.h.  PUT /test/faults sets any of:
+
+    down                refuse all requests
+    reads_down          refuse reads only
+    slow_ms             delay of each request
+    drop_acks           close the connection after that many appends took
+                        effect, without an answer
+    keep                number of records that retention leaves; 0: all
+    damage              flip a byte in the first record of that many reads,
+                        another byte each time
+    shuffle             reverse the records of that many reads
+    page                maximum number of records of one read; 0: no limit
+    down_after_appends  set down after that many appends
+
+PUT /test/expire lets retention remove all records, PUT /test/reset begins a
+new log.
 """
 
 import base64
@@ -33,7 +42,7 @@
                        "page": 0}
 
     def wait_turn(self):
-        """Appends take effect one after another, so many a second."""
+        """Appends take effect one after another, at most RATE a second."""
         with self.turn:
             now = time.monotonic()
             self.next_append = max(self.next_append, now) + 1 / self.rate
@@ -56,19 +65,19 @@
             return offset
 
     def expire(self):
-        """All records are older than retention; offsets go on."""
+        """Retention removes all records; offsets go on."""
         with self.changed:
             self.first += len(self.records)
             self.records = []
             return self.first
 
     def reset(self):
-        """A new, empty log in the place of this one."""
+        """Replaces the log by a new, empty one."""
         with self.changed:
             self.first, self.records = 1, []
             return self.first
 
-    def read(self, start, wait_ms, most):
+    def read(self, start, wait_ms, max_records):
         until = time.monotonic() + wait_ms / 1000
         with self.changed:
             while start >= self.first + len(self.records):
@@ -81,14 +90,14 @@
             if start < self.first:
                 return 410, head
             at = start - self.first
-            for i, data in enumerate(self.records[at:at + most]):
+            for i, data in enumerate(self.records[at:at + max_records]):
                 head["records"].append(
                     {"offset": start + i,
                      "data": base64.b64encode(data).decode()})
-            self.spoil(head["records"])
+            self.apply_read_faults(head["records"])
             return 200, head
 
-    def spoil(self, records):
+    def apply_read_faults(self, records):
         if records and self.faults["damage"] > 0:
             self.faults["damage"] -= 1
             data = bytearray(base64.b64decode(records[0]["data"]))
