--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,6 +1,7 @@
-"""Runs every bench_*.py beside it, one after the other, and prints what each
-prints.  A bench takes --build DIR, compares within its own run, and exits 1
-when it could not measure.  Not run by CI: its figures are the machine's."""
+"""Runs every bench_*.py of this directory, one after the other, and shows their
+output.  A benchmark takes --build DIR, compares only figures of its own run,
+and exits 1 if it could not measure.  CI does not run it, as the figures depend
+on the machine."""
 
 import argparse
 import glob
@@ -16,7 +17,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--build", default="build")
     parser.add_argument("names", nargs="*",
-                        help="benches to run, as bench_load; default: all")
+                        help="benchmarks to run, e.g. bench_load; default: all")
     args = parser.parse_args()
     names = args.names or sorted(
         os.path.basename(p)[:-3]
@@ -34,7 +35,7 @@
               flush=True)
         if code != 0:
             failed.append(name)
-    print("%d benches, %d failed%s" % (len(names), len(failed),
+    print("%d benchmarks, %d failed%s" % (len(names), len(failed),
                                        ": " + ", ".join(failed)
                                        if failed else ""))
     sys.exit(1 if failed or not names else 0)
--- a/tests/bench_config.py
+++ b/tests/bench_config.py
@@ -1,6 +1,7 @@
-"""Measures the way of a configuration: from publish to in force everywhere
-against the number of VMs, what control costs when idle, a start from a
-checkpoint with 22,000 adapters, and appends with and without batching.
+"""Benchmarks of configuration distribution, by number of VMs: the time from
+publish to in force everywhere and the cost of an idle control plane.  Also the
+start of a VM from a checkpoint with 22,000 adapters, and appends with and
+without batching.
 
     /usr/bin/python3 tests/bench_config.py --build build
 """
@@ -51,7 +52,8 @@
 
 
 def log_stamps(c, version):
-    """When each daemon put VERSION in force, by its own log."""
+    """Times at which the daemons put VERSION in force, from their logs; None:
+    not all have."""
     mark = "Configuration %d is in force" % version
     out = []
     for d in c.daemons():
@@ -85,7 +87,7 @@
 
 
 def bench_idle(build, counts, seconds):
-    print("idle control, each process; two data centres, %d s" % seconds)
+    print("idle control plane, per process; two data centres, %d s" % seconds)
     for vms in counts:
         with make(build, vms) as c:
             c.wait_in_force(publish(c, "t"))
@@ -101,8 +103,8 @@
                         for d in mine]
                 out = [(metric(c, d, "peer_sent_bytes_total") - sent[d])
                        / seconds for d in mine]
-                print("  VMs %3d %s: %.2f%% of a core (most %.2f%%), %.0f B/s "
-                      "sent on links (most %.0f), %.0f MB resident" % (
+                print("  VMs %3d %s: %.2f%% of a core (max %.2f%%), %.0f B/s "
+                      "sent on links (max %.0f), %.0f MB resident" % (
                           vms, role, sum(used) / len(used), max(used),
                           sum(out) / len(out), max(out),
                           sum(rss_mb(pids[d]) for d in mine) / len(mine)),
@@ -159,10 +161,10 @@
 
 
 def bench_appends(build, seconds):
-    """The program build/script_append pushes records through the log client
-    as fast as its queue takes them."""
-    print("records appended a second through one process's log client; the "
-          "stand-in takes 5 ms for an append")
+    """The program build/script_append appends records through the log client
+    as fast as its queue accepts them."""
+    print("records appended per second through one process's log client; the "
+          "stand-in takes 5 ms per append")
     with make(build, 2, centres=("dc1",)) as c:
         c.wait_in_force(publish(c, "t"))
         c.set_faults("log", slow_ms=5)
@@ -175,7 +177,7 @@
             doc = json.loads(res.stdout)
             print("  %s: %.0f records/s in %.0f appends/s, %.1f ms p50 to "
                   "acknowledgement" % (
-                      "one record an append" if window is None else
+                      "one record per append" if window is None else
                       "window %2d ms" % window, doc["records_per_s"],
                       doc["appends_per_s"], doc["p50_ms"]), flush=True)
 
--- a/tests/bench_load.py
+++ b/tests/bench_load.py
@@ -1,5 +1,6 @@
-"""What the router adds: direct calls to an engine stand-in against the same
-calls through one router, in turns within one run (seed 1, three turns)."""
+"""Overhead of the router: direct calls to an engine stand-in compared with the
+same calls through one router, alternating within one run (seed 1, three
+turns)."""
 
 import argparse
 import json
@@ -12,35 +13,36 @@
 TURNS = 3
 
 
-def middle(values):
-    """Median and range, as text."""
+def format_median(values):
+    """Median and range as a string."""
     return "%.4g (%.4g to %.4g)" % (statistics.median(values), min(values),
                                     max(values))
 
 
 def engine_address(c):
-    """The engine that holds the model."""
+    """Address of the engine that has the model loaded."""
     for i in range(c.engine_count):
         port = c.port("dc1-engines") + i
         text = c.load(["127.0.0.1:%d" % port], "--models", "m0",
                       "--requests", 1)
         if text["answered"] == 1:
             return "127.0.0.1:%d" % port
-    raise AssertionError("no engine holds the model")
+    raise AssertionError("no engine has the model loaded")
 
 
 def measure(c, to, *args):
-    """One run of the load tool, with the router's use beside it."""
+    """One run of the load tool, with the CPU time that the router used."""
     with Window(c, [ROUTER, "dc1-engines"]) as w:
         out = c.load([to], "--models", "m0", *args)
     if out["wrong"] or out["failed"] or not out["answered"]:
-        raise AssertionError("not clean: %s" % out["outcomes"])
+        raise AssertionError("wrong or failed calls, or none answered: %s"
+                             % out["outcomes"])
     out["router_cpu_s"] = w.used[ROUTER]["cpu"]
     return out
 
 
 def compare(c, direct, title, *args):
-    """Direct and routed in turns; latencies in milliseconds."""
+    """Measures direct and routed calls in turns; prints latencies in ms."""
     rows = {"direct": [], "router": []}
     for _ in range(TURNS):
         rows["direct"].append(measure(c, direct, *args))
@@ -54,23 +56,23 @@
             r = [o[key][q] / 1000 for o in rows["router"]]
             added = [y - x for x, y in zip(d, r)]
             print("  %-10s %s ms: direct %s, router %s, added %s" % (
-                key[:-3], q, middle(d), middle(r), middle(added)))
+                key[:-3], q, format_median(d), format_median(r), format_median(added)))
     rates = {k: [o["answered"] / o["elapsed_s"] for o in v]
              for k, v in rows.items()}
     print("  requests/s: direct %s, router %s, ratio %s" % (
-        middle(rates["direct"]), middle(rates["router"]),
-        middle([r / d for d, r in zip(rates["direct"], rates["router"])])))
+        format_median(rates["direct"]), format_median(rates["router"]),
+        format_median([r / d for d, r in zip(rates["direct"], rates["router"])])))
     cpu = [o["router_cpu_s"] / o["answered"] * 1e6 for o in rows["router"]]
     print("  router CPU per request: %s us, so %s requests/s per core" % (
-        middle(cpu), middle([1e6 / x for x in cpu])))
+        format_median(cpu), format_median([1e6 / x for x in cpu])))
     tokens = [o for o in rows["router"] if o["tokens"]]
     if tokens:
-        print("  router CPU per token, all included: %s us" % middle(
+        print("  router CPU per token, requests included: %s us" % format_median(
             [o["router_cpu_s"] / o["tokens"] * 1e6 for o in tokens]))
 
 
 def measure_streams(c, count):
-    """COUNT streams open at once; memory and threads while they are."""
+    """Opens COUNT streams at once; prints the router's memory and threads."""
     idle_mb = read_rss_mb(c.pid(ROUTER))
     with Window(c, [ROUTER]) as w:
         proc = c.spawn("streams", [
--- a/tests/bench_once.py
+++ b/tests/bench_once.py
@@ -1,9 +1,9 @@
-"""Claims a second and the latency that a claim adds, against the batch
-window, with a log that takes about 300 appends a second.
+"""Claims of idempotency keys per second, and the latency that a claim adds, by
+the batch window of the log client.  The log takes about 300 appends a second.
 
-Callers send non-idempotent calls with keys of their own through two routers,
-each as fast as it is answered; the baseline is the same service called
-without a key.  Prints a table.
+Each caller sends non-idempotent calls with new keys through one of two
+routers, the next one as soon as the last is answered.  The baseline is a
+service called without keys.  Prints a table.
 """
 
 import argparse
--- a/tests/bench_router.py
+++ b/tests/bench_router.py
@@ -1,8 +1,8 @@
-"""Measures the request path: what a router adds to a call, what early
-refusal does in a burst, and how evenly the choice of an upstream spreads
-load.  Every comparison is made in one run.  The client is a small threaded
-Python one, and so are the stand-ins: differences between two columns are
-the router's, the absolute times are mostly theirs.
+"""Benchmarks of the request path: the latency that a router adds to a call,
+the effect of early refusal in a burst, and how evenly the choice of an upstream
+spreads load.  Every comparison is made in one run.  The client and the
+stand-ins are small threaded Python programs: absolute times are mostly theirs,
+only the differences are the router's.
 
     /usr/bin/python3 tests/bench_router.py --build build
 """
@@ -35,7 +35,7 @@
 
 
 def publish(c):
-    """The samples with limits that no bench reaches."""
+    """Publishes the samples with limits that no benchmark reaches."""
     samples = os.path.join(ROOT, "samples")
     paths = [os.path.join(samples, "samiti.ini")]
     for name in ("samiti-drafting.ini", "samiti-registry.ini"):
@@ -48,7 +48,7 @@
     c.wait_ready()
 
 
-# ---- what a router adds -----------------------------------------------
+# ---- overhead of a router ---------------------------------------------
 
 def read_cpu_s(c):
     path = "/proc/%d/stat" % c.procs[ROUTER].popen.pid
@@ -118,8 +118,8 @@
 # ---- a burst of twice the capacity ------------------------------------
 
 def measure_burst(build, early):
-    """Capacity: 4 calls of 200 ms at once, 20 a second.  Callers: 40 a
-    second for 6 s, each with 1000 ms."""
+    """Capacity: 4 concurrent calls of 200 ms, so 20 a second.  Demand: 40
+    calls a second for 6 s, each with a deadline of 1000 ms."""
     with make_cluster(build, per_upstream=4,
                       early_refusal="true" if early else "false") as c:
         publish(c)
@@ -151,16 +151,16 @@
 def report_burst(seen, early):
     answered = [ms for status, _, ms in seen if status == 200]
     refused = [ms for _, outcome, ms in seen if outcome == "refused-not-run"]
-    cut = [ms for status, outcome, ms in seen
-           if status != 200 and outcome != "refused-not-run"]
+    unfinished = [ms for status, outcome, ms in seen
+                  if status != 200 and outcome != "refused-not-run"]
     late = [ms for ms in refused if ms > 100]
     print("burst, early refusal %s: %d answered, p50 %.0f ms, p99 %.0f ms; "
           "%d refused, p50 %.0f ms, %d of them after more than 100 ms; "
-          "%d ran into their deadline" % (
+          "%d exceeded their deadline" % (
               "on" if early else "off", len(answered),
               percentile(answered, 0.5), percentile(answered, 0.99),
               len(refused), percentile(refused, 0.5) if refused else 0,
-              len(late), len(cut)))
+              len(late), len(unfinished)))
 
 
 # ---- the choice of an upstream ----------------------------------------
@@ -175,10 +175,10 @@
             [os.path.join(build, "script_rt")], stdin=subprocess.PIPE,
             stdout=subprocess.PIPE, text=True) for _ in range(routers)]
         for r in range(routers):
-            self.tell(r, "set per_upstream 100000")
+            self.send(r, "set per_upstream 100000")
         self.report([0] * upstreams, 1000)
 
-    def tell(self, router, line):
+    def send(self, router, line):
         p = self.procs[router]
         p.stdin.write(line + "\n.\n")
         p.stdin.flush()
@@ -189,20 +189,20 @@
 
     def report(self, inflight, now_ms):
         for r in range(len(self.procs)):
-            self.tell(r, "at %d" % now_ms)
+            self.send(r, "at %d" % now_ms)
             for u in range(self.upstreams):
-                self.tell(r, "state dc1 1 u%d 10.0.0.1:%d live known %d m" %
+                self.send(r, "state dc1 1 u%d 10.0.0.1:%d live known %d m" %
                           (u, u + 1, inflight[u]))
 
     def choose(self, router, now_ms, ident, prefix):
-        self.tell(router, "at %d" % now_ms)
-        out = self.tell(router, "arrive %d m lm w interactive 5 1000000 500 "
+        self.send(router, "at %d" % now_ms)
+        out = self.send(router, "arrive %d m lm w interactive 5 1000000 500 "
                         "1 %d again" % (ident, prefix if self.affinity
                                         else 0))
         return int(out[0][2][1:])
 
     def done(self, router, ident):
-        self.tell(router, "done %d ok -" % ident)
+        self.send(router, "done %d ok -" % ident)
 
     def close(self):
         for p in self.procs:
@@ -243,10 +243,11 @@
 
 def simulate(choice, mean_ms, report_ms=200, requests=12000, routers=4,
              upstreams=18):
-    """Poisson arrivals at four routers, 4.5 calls at once at an upstream,
-    answers of very uneven length (Pareto), reports of all loads; (mean over
-    time of the highest load by the mean load, share of prefixes that the
-    upstream has met before)."""
+    """Simulates Poisson arrivals at four routers, 4.5 concurrent calls per
+    upstream, answers of very uneven length (Pareto) and periodic reports of
+    all loads.  Returns the highest load divided by the mean load, averaged
+    over time, and the share of requests whose prefix the upstream has seen
+    before."""
     rng = random.Random(1)
     inflight = [0] * upstreams
     seen = [set() for _ in range(upstreams)]
@@ -285,17 +286,17 @@
 
 
 def measure_choice(build):
-    """Answers of 8 s (250 tokens of 33 ms), and short ones, whose reports
-    are as old as they are."""
+    """Answers of 8 s (250 tokens of 33 ms), and of 180 ms, about the interval
+    between load reports."""
     for mean_ms in (8000, 180):
         for name, choice in (
                 ("random", RandomChoice(4, 18)),
                 ("round robin", RoundRobin(4, 18)),
-                ("ours, no prefix", CoreChoice(build, 4, 18, False)),
-                ("ours, by prefix", CoreChoice(build, 4, 18, True))):
+                ("core, no prefix", CoreChoice(build, 4, 18, False)),
+                ("core, by prefix", CoreChoice(build, 4, 18, True))):
             ratio, hits = simulate(choice, mean_ms)
             print("choice, answers of %d ms, %-16s highest load %.2f of the "
-                  "mean, prefix met before %.0f%%" % (
+                  "mean, prefix seen before %.0f%%" % (
                       mean_ms, name + ":", ratio, hits * 100))
 
 
