--- a/Makefile
+++ b/Makefile
@@ -60,7 +60,7 @@
 
 .PRECIOUS: $(BUILD)/%.o
 
-# The generated code is committed; only a change of the schema needs this.
+# The generated code is committed; run this only after a change of a .proto file.
 proto:
 	cd src && protoc-c --c_out=. bglade.proto gateway.proto
 
@@ -109,7 +109,7 @@
 bench: all
 	/usr/bin/python3 tests/bench.py --build $(BUILD)
 
-# The core of placement alone, from a small site to the largest.
+# The placement module (mp) alone, from a small fleet to the largest.
 bench-placement: $(BENCHES)
 	$(BUILD)/bench_mp 12 40 60 7 40
 	$(BUILD)/bench_mp 140 56 110 75 300
@@ -120,5 +120,5 @@
 	rm -rf build
 
 -include $(wildcard $(BUILD)/*.d)
-# The soak is a by-hand target; CI runs a few of its seeds.
+# soak is started by hand; CI runs only a few of its seeds.
 .PHONY: all demo check lint format asan tsan soak bench bench-placement clean proto install-packages
