--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -2,13 +2,13 @@
 
 POST /v1/append, GET /v1/records; see src/lc.h.  PUT /test/faults sets any of:
 
-    down                refuse all requests
+    down                refuse all requests under /v1/
     reads_down          refuse reads only
     slow_ms             delay of each request
     drop_acks           close the connection after that many appends took
                         effect, without an answer
     keep                number of records that retention leaves; 0: all
-    damage              flip a byte in the first record of that many reads,
+    damage              change a byte in the first record of that many reads,
                         another byte each time
     shuffle             reverse the records of that many reads
     page                maximum number of records of one read; 0: no limit
