--- a/src/main_placer.c
+++ b/src/main_placer.c
@@ -144,7 +144,7 @@
    reaches this life or none.  Without it an order of a paused owner could
    reach a restarted upstream, which has forgotten its fencing number. */
 static bool
-check_life(HcClient *http, const Job *j)
+check_boot(HcClient *http, const Job *j)
 {
     g_autofree char *url =
         g_strconcat("http://", j->address, "/control/report", NULL);
@@ -169,7 +169,7 @@
 run_job(HcClient *http, Job *j)
 {
     bool bound = j->kind == PL_LOAD || j->kind == PL_UNLOAD;
-    if (bound && !check_life(http, j)) {
+    if (bound && !check_boot(http, j)) {
         drop_job(j);
         return;
     }
@@ -383,7 +383,7 @@
     g_ptr_array_free(p->disk_tier, TRUE);
 }
 
-static PlOrderEnd
+static PlOrderOutcome
 classify(const Job *j, json_t *doc)
 {
     if (j->res.end == HC_NOT_SENT) {
@@ -416,7 +416,7 @@
         .upstream = j->upstream,
         .model = j->model,
         .load_id = j->load_id,
-        .end = classify(j, doc),
+        .outcome = classify(j, doc),
         .fence = j->fence,
         .epoch = j->epoch,
         .seq = (uint64_t)json_integer_value(json_object_get(doc, "seq")),
@@ -610,7 +610,7 @@
     }
     else if (frame->body_case == BG__FRAME__BODY_HEARTBEAT &&
              strcmp(from->role, "placer") == 0) {
-        pl_on_beat(p->core, now_ms, from->node, frame->heartbeat->owner);
+        pl_on_heartbeat(p->core, now_ms, from->node, frame->heartbeat->owner);
     }
 }
 
--- a/src/pl.c
+++ b/src/pl.c
@@ -42,7 +42,7 @@
 static void
 free_closing(gpointer p)
 {
-    Closing *k = p;
+    ClosingEpoch *k = p;
     g_ptr_array_free(k->open, TRUE);
     g_free(k);
 }
@@ -54,7 +54,7 @@
     c->params = *params;
     c->params.node = g_strdup(params->node);
     c->params.data_centre = g_strdup(params->data_centre);
-    c->claim_hold_ms = params->lease_ms;
+    c->claim_grace_ms = params->lease_ms;
     c->fold = fold;
     c->out = *out;
     bg_seed_random(&c->rng, params->seed ^
@@ -63,7 +63,8 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_upstream);
     c->models =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_model);
-    c->beats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    c->owner_heartbeats =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->closing = g_ptr_array_new_with_free_func(free_closing);
     return c;
 }
@@ -76,7 +77,7 @@
     }
     g_hash_table_destroy(c->upstreams);
     g_hash_table_destroy(c->models);
-    g_hash_table_destroy(c->beats);
+    g_hash_table_destroy(c->owner_heartbeats);
     g_ptr_array_free(c->closing, TRUE);
     g_free(c->claim_holder);
     g_free((char *)c->params.node);
@@ -196,14 +197,14 @@
 
 /* An intent took effect that was given up before: it was never ordered. */
 static void
-drop_orphan(PlCore *c, const Bg__IntentRecord *r)
+settle_orphan(PlCore *c, const Bg__IntentRecord *r)
 {
     pl_append_settle(c, r->upstream, r->model, r->load_id, SETTLE_ABSENT);
     bg_count("placer_orphan_intents_total", 1);
 }
 
 static void
-win_intent(Load *l, uint64_t now_ms)
+on_intent_won(Load *l, uint64_t now_ms)
 {
     l->closed_recorded = false; /* the record opened it for this epoch */
     if (l->phase != LOAD_RECORDING) {
@@ -214,7 +215,7 @@
 }
 
 static void
-lose_intent(const PlCore *c, Load *l, uint64_t now_ms)
+on_intent_lost(const PlCore *c, Load *l, uint64_t now_ms)
 {
     bg_count("placer_intents_lost_total", 1);
     if (pl_find_intent(c, l->at->id, l->model)) {
@@ -229,7 +230,7 @@
     /* It is there, or may be, beyond what was decided: drop it unless what
        stands against it goes first. */
     l->next_try_ms = now_ms + REFUSED_RETRY_MS;
-    if (++l->found_tries >= FOUND_TRIES && !l->order_out) {
+    if (++l->lost_intents >= MAX_LOST_INTENTS && !l->order_out) {
         pl_set_phase(l, LOAD_UNLOADING, now_ms);
     }
 }
@@ -245,13 +246,13 @@
     Load *l = pl_find_load(c, r->upstream, r->model);
     bool same = l && strcmp(l->load_id, r->load_id) == 0;
     if (result == FOLD_WON && same) {
-        win_intent(l, now_ms);
+        on_intent_won(l, now_ms);
     }
     else if (result == FOLD_WON) {
-        drop_orphan(c, r);
+        settle_orphan(c, r);
     }
     else if (same) {
-        lose_intent(c, l, now_ms);
+        on_intent_lost(c, l, now_ms);
     }
 }
 
@@ -300,14 +301,14 @@
 }
 
 void
-pl_on_beat(PlCore *c, uint64_t now_ms, const char *node, bool owner)
+pl_on_heartbeat(PlCore *c, uint64_t now_ms, const char *node, bool owner)
 {
     if (!owner) {
         return;
     }
     uint64_t *beat = g_new(uint64_t, 1);
     *beat = now_ms;
-    g_hash_table_replace(c->beats, g_strdup(node), beat);
+    g_hash_table_replace(c->owner_heartbeats, g_strdup(node), beat);
 }
 
 /* Whether the standing grant covers L where it is. */
@@ -317,7 +318,8 @@
     const FoldGrant *g = pl_find_own_grant(c);
     const CfgModel *m = cfg_find_model(cfg, l->model);
     const char *id =
-        g && m ? pl_pick_grant(g, m->upstreams, pl_get_grant_key(m)) : NULL;
+        g && m ? pl_pick_grant_upstream(g, m->upstreams, pl_get_grant_key(m))
+               : NULL;
     return id && l->at->fenced && l->at->confirmed &&
            pl_is_settled(c, l->at) && strcmp(id, l->at->id) == 0;
 }
@@ -369,7 +371,7 @@
 {
     c->now_ms = now_ms;
     if (reachable != c->log_reachable) {
-        c->log_turned_ms = now_ms;
+        c->log_changed_ms = now_ms;
         if (!reachable) {
             give_up_recording(c);
         }
--- a/src/pl.h
+++ b/src/pl.h
@@ -54,7 +54,7 @@
     PL_BUSY,     /* refused for another reason, such as in use */
     PL_NOT_SENT, /* never reached the upstream, or not the life it is for */
     PL_UNKNOWN   /* may have been taken, or may be at any later time */
-} PlOrderEnd;
+} PlOrderOutcome;
 
 typedef struct {
     const char *model;
@@ -81,7 +81,7 @@
     const char *upstream;
     const char *model;
     const char *load_id;
-    PlOrderEnd end;
+    PlOrderOutcome outcome;
     uint64_t fence;         /* the number the order carried */
     uint64_t epoch;         /* as in the order */
     uint64_t seq;           /* of the upstream when it acknowledged */
@@ -122,7 +122,7 @@
                   const Bg__Demand *d);
 /* A placer of this data centre was heard.  OWNER: it owns the data centre
    and reads the log. */
-void pl_on_beat(PlCore *c, uint64_t now_ms, const char *node, bool owner);
+void pl_on_heartbeat(PlCore *c, uint64_t now_ms, const char *node, bool owner);
 /* Whether the log answers, and whether the fold has all of it. */
 void pl_on_log(PlCore *c, uint64_t now_ms, bool reachable, bool caught_up);
 /* Stop giving orders and hand over. */
--- a/src/pl_book.c
+++ b/src/pl_book.c
@@ -132,7 +132,7 @@
 {
     return c->owner && !c->draining &&
            (c->log_reachable ||
-            c->now_ms - c->log_turned_ms < c->params.lease_ms);
+            c->now_ms - c->log_changed_ms < c->params.lease_ms);
 }
 
 /* Whether U may be given orders under the claim in force. */
@@ -153,7 +153,7 @@
 /* ---- records ------------------------------------------------------------ */
 
 static bool
-is_granting(const Upstream *u)
+is_grantable(const Upstream *u)
 {
     return u->fenced && !u->gone && !u->leaving;
 }
@@ -166,14 +166,14 @@
 
 /* Upstreams of the standing grant, as far as they are known now. */
 GPtrArray *
-pl_list_granting(const PlCore *c)
+pl_list_grant_upstreams(const PlCore *c)
 {
     GPtrArray *list = g_ptr_array_new();
     GHashTableIter it;
     gpointer p;
     g_hash_table_iter_init(&it, c->upstreams);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
-        if (is_granting(p)) {
+        if (is_grantable(p)) {
             g_ptr_array_add(list, p);
         }
     }
@@ -182,7 +182,7 @@
 }
 
 static Bg__GrantUpstream *
-make_grant_name(const Upstream *u)
+make_grant_entry(const Upstream *u)
 {
     Bg__GrantUpstream *name = g_new(Bg__GrantUpstream, 1);
     bg__grant_upstream__init(name);
@@ -202,11 +202,11 @@
     rec.body_case = BG__RECORD__BODY_CLAIM;
     rec.claim = &r;
     Bg__Record *copy = rec_copy(&rec);
-    g_autoptr(GPtrArray) list = pl_list_granting(c);
+    g_autoptr(GPtrArray) list = pl_list_grant_upstreams(c);
     Bg__ClaimRecord *claim = copy->claim;
     claim->grant = g_new0(Bg__GrantUpstream *, list->len + 1);
     for (guint i = 0; i < list->len; i++) {
-        claim->grant[claim->n_grant++] = make_grant_name(list->pdata[i]);
+        claim->grant[claim->n_grant++] = make_grant_entry(list->pdata[i]);
     }
     c->out.append(c->out.ctx, copy);
 }
@@ -237,7 +237,7 @@
 
 void
 pl_append_settle(PlCore *c, const char *upstream, const char *model,
-                 const char *load_id, Fate fate)
+                 const char *load_id, SettleOutcome outcome)
 {
     Bg__SettleRecord r = BG__SETTLE_RECORD__INIT;
     r.data_centre = (char *)c->params.data_centre;
@@ -245,9 +245,9 @@
     r.upstream = (char *)upstream;
     r.model = (char *)model;
     r.load_id = (char *)load_id;
-    r.loaded = fate == SETTLE_LOADED || fate == SETTLE_CLOSED;
-    r.closed = fate == SETTLE_CLOSED;
-    r.life_ended = fate == SETTLE_ENDED;
+    r.loaded = outcome == SETTLE_LOADED || outcome == SETTLE_CLOSED;
+    r.closed = outcome == SETTLE_CLOSED;
+    r.life_ended = outcome == SETTLE_ENDED;
     Bg__Record rec = BG__RECORD__INIT;
     rec.body_case = BG__RECORD__BODY_SETTLE;
     rec.settle = &r;
--- a/src/pl_int.h
+++ b/src/pl_int.h
@@ -11,9 +11,9 @@
 
 #include "pl.h"
 
-#define MISSED_POLLS_SILENT 3 /* then nobody is counted on there */
+#define MAX_MISSED_POLLS 3 /* then nobody is counted on there */
 #define CLAIM_RETRY_MS 2000
-#define CLAIM_HOLD_MAX_MS 60000
+#define CLAIM_GRACE_MAX_MS 60000
 #define VM_LIST_WAIT_MS 3000
 #define GRANT_FIRST_MS 1000
 #define GRANT_REFRESH_MS 10000
@@ -24,20 +24,20 @@
 #define GONE_POLL_MS 1000
 #define LOADING_POLL_MS 40
 #define FORGET_GONE_MS 60000
-#define DEMAND_AGE_MS 3000
+#define DEMAND_MAX_AGE_MS 3000
 #define MIN_GAP_MS 1500
 #define KEEP_MAX_MS (30u * 60 * 1000)
 
 #define BACKOFF_MIN_MS 500
 #define BACKOFF_MAX_MS 15000
 #define NO_ROOM_RETRY_AFTER_MS 2000
-#define LOG_AWAY_RETRY_AFTER_MS 5000
-#define PRIORITY_WORTH_MS 2000 /* of slack, one step of priority */
+#define LOG_UNREACHABLE_RETRY_AFTER_MS 5000
+#define PRIORITY_SLACK_MS 2000 /* of slack, one step of priority */
 #define MB_PER_SLACK_MS 100
 #define DRAIN_LOG_WAIT_MS 5000
 /* A replica that is there without a record is dropped after its intent lost
    so often. */
-#define FOUND_TRIES 5
+#define MAX_LOST_INTENTS 5
 
 typedef enum {
     LOAD_RECORDING, /* intent appended, not yet in effect */
@@ -73,7 +73,7 @@
     bool seen_absent; /* by a report since the last load order */
     bool adopted;     /* recorded by an earlier owner */
     bool found;       /* reported without a record; being recorded */
-    uint32_t found_tries;
+    uint32_t lost_intents;
     uint64_t final_ms; /* ADOPTED: when its orders were first known dead */
     bool ended;        /* the life it was for ended */
     bool granted;      /* ordered under the standing grant */
@@ -121,15 +121,15 @@
     bool poll_out;
     bool confirmed; /* SETTLED_EPOCH was still ours by the log, later */
     bool fence_out;
-    bool want_fresh; /* a report made from now on is needed */
+    bool needs_fresh_report; /* a report made from now on is needed */
 } Upstream;
 
 /* What the routers want of one model, and how it was used. */
 typedef struct {
     char *name;
-    GHashTable *routers; /* node -> RouterWant */
+    GHashTable *routers; /* node -> RouterDemand */
     uint64_t last_used_ms;
-    uint64_t wanted_ms; /* since when somebody waits; 0: nobody */
+    uint64_t demand_since_ms; /* since when somebody waits; 0: nobody */
     uint64_t refused_ms;
     uint32_t failures;     /* loads that died, in a row */
     uint64_t next_load_ms; /* not before */
@@ -142,7 +142,7 @@
     uint32_t priority;
     uint32_t inflight;
     uint64_t seen_ms;
-} RouterWant;
+} RouterDemand;
 
 /* An epoch of this process that has ended: its orders under way. */
 typedef struct {
@@ -150,29 +150,29 @@
     uint32_t orders_out;
     GPtrArray *open; /* "upstream\nmodel": orders of unknown fate */
     uint64_t next_try_ms;
-} Closing;
+} ClosingEpoch;
 
 struct PlCore {
     PlParams params;
     const Fold *fold;
     PlOutput out;
     BgRandom rng;
-    GHashTable *upstreams; /* id -> Upstream */
-    GHashTable *models;    /* name -> Model */
-    GHashTable *beats;     /* node -> uint64_t last heard as owner */
-    GPtrArray *closing;    /* Closing */
+    GHashTable *upstreams;        /* id -> Upstream */
+    GHashTable *models;           /* name -> Model */
+    GHashTable *owner_heartbeats; /* node -> uint64_t last heard as owner */
+    GPtrArray *closing;           /* Closing */
     uint64_t now_ms;
     uint64_t start_ms;
     bool vms_known;
     bool log_reachable;
     bool caught_up;
-    uint64_t log_turned_ms; /* when reachability last changed */
+    uint64_t log_changed_ms; /* when reachability last changed */
     bool draining;
     uint64_t drain_ms;
     uint64_t quiesce_try_ms;
     uint64_t claim_tried_ms;
-    uint64_t claim_seen_ms; /* when the claim in force was first seen */
-    uint64_t claim_hold_ms; /* how long a claim is respected unheard */
+    uint64_t claim_seen_ms;  /* when the claim in force was first seen */
+    uint64_t claim_grace_ms; /* how long a claim is respected unheard */
     uint64_t claim_epoch;
     char *claim_holder;
     uint64_t clear_try_ms;
@@ -188,7 +188,7 @@
     SETTLE_CLOSED,
     SETTLE_ABSENT,
     SETTLE_ENDED
-} Fate;
+} SettleOutcome;
 
 typedef struct {
     uint32_t counted; /* replicas, loaded, on the way or possible */
@@ -214,12 +214,12 @@
                                  const char *model);
 bool pl_is_settled(const PlCore *c, const Upstream *u);
 bool pl_is_lost(const PlCore *c, const Upstream *u);
-GPtrArray *pl_list_granting(const PlCore *c);
+GPtrArray *pl_list_grant_upstreams(const PlCore *c);
 void pl_append_claim(PlCore *c, uint64_t base);
 void pl_append_intent(PlCore *c, const Load *l, uint32_t ceiling,
                       bool adapter);
 void pl_append_settle(PlCore *c, const char *upstream, const char *model,
-                      const char *load_id, Fate fate);
+                      const char *load_id, SettleOutcome outcome);
 void pl_append_clear(PlCore *c);
 void pl_append_quiesce(PlCore *c, uint64_t epoch, const GPtrArray *open);
 
@@ -228,8 +228,8 @@
 void pl_note_claim(PlCore *c, uint64_t now_ms);
 void pl_close_epochs(PlCore *c, uint64_t now_ms);
 void pl_hand_over(PlCore *c, uint64_t now_ms);
-const char *pl_pick_grant(const FoldGrant *g, const char *deployment,
-                          const char *key);
+const char *pl_pick_grant_upstream(const FoldGrant *g, const char *deployment,
+                                   const char *key);
 const char *pl_get_grant_key(const CfgModel *m);
 const FoldGrant *pl_find_own_grant(const PlCore *c);
 uint32_t pl_count_possible(const PlCore *c, const CfgModel *m);
--- a/src/pl_order.c
+++ b/src/pl_order.c
@@ -42,7 +42,7 @@
 
 /* While a load is under way its callers wait for the next report. */
 static uint32_t
-get_poll_gap(const PlCore *c, const Upstream *u)
+get_poll_interval_ms(const PlCore *c, const Upstream *u)
 {
     if (u->gone) {
         return GONE_POLL_MS;
@@ -69,7 +69,7 @@
     }
     u->poll_out = true;
     u->poll_sent_ms = now_ms;
-    u->next_poll_ms = now_ms + get_poll_gap(c, u);
+    u->next_poll_ms = now_ms + get_poll_interval_ms(c, u);
     pl_send_order(c, PL_POLL, u, NULL, NULL);
 }
 
@@ -80,7 +80,7 @@
 void
 pl_settle_upstream(PlCore *c, Upstream *u, uint64_t now_ms)
 {
-    bool needed = !pl_is_settled(c, u) || u->want_fresh;
+    bool needed = !pl_is_settled(c, u) || u->needs_fresh_report;
     /* Without the log this owner cannot know whether it was succeeded, and
        an upstream that was restarted has forgotten its successor's number. */
     if (!needed || !u->engine || !c->log_reachable || u->gone || !u->address ||
@@ -154,11 +154,11 @@
 /* Whether no order that could bring L is left: then a report that lacks it
    is its end.  Three kinds of orders could.  Ours with a worker: order_out.
    Ours of unknown fate: dead once a fencing upstream acknowledged a higher
-   number (a restart ends the load itself, see end_former_life).  Those
+   number (a restart ends the load itself, see end_previous_boot).  Those
    of earlier owners: dead on a fencing upstream that was fenced in this
    epoch; on any other only when the fold has them closed. */
 static bool
-is_final(const PlCore *c, const Load *l)
+is_absence_final(const PlCore *c, const Load *l)
 {
     const Upstream *u = l->at;
     if (l->order_out) {
@@ -241,12 +241,13 @@
     if (l->phase == LOAD_ORDERING) {
         return;
     }
-    if (!is_final(c, l)) {
+    if (!is_absence_final(c, l)) {
         if (l->phase != LOAD_LINGERING) {
             pl_set_phase(l, LOAD_LINGERING, now_ms);
         }
         l->final_ms = 0;
-        u->want_fresh = u->want_fresh || (u->fenced && l->unknown > 0);
+        u->needs_fresh_report =
+            u->needs_fresh_report || (u->fenced && l->unknown > 0);
         return;
     }
     /* Reports lag: one made before the last of its orders arrived says
@@ -255,7 +256,7 @@
     if (l->adopted) {
         l->final_ms = l->final_ms ? l->final_ms : now_ms;
         if (u->fresh_ms < l->final_ms) {
-            u->want_fresh = true;
+            u->needs_fresh_report = true;
             return;
         }
     }
@@ -352,7 +353,7 @@
 /* A load for a former life of the upstream ended with it: orders for it go
    over connections to that life, see the worker's check. */
 static void
-end_former_life(PlCore *c, Load *l, uint64_t now_ms)
+end_previous_boot(PlCore *c, Load *l, uint64_t now_ms)
 {
     if (!l->boot || l->order_out || l->phase == LOAD_SETTLING ||
         strcmp(l->boot, l->at->boot) == 0) {
@@ -388,7 +389,7 @@
     }
     g_autoptr(GPtrArray) list = pl_list_loads_at(u);
     for (guint i = 0; i < list->len; i++) {
-        end_former_life(c, list->pdata[i], now_ms);
+        end_previous_boot(c, list->pdata[i], now_ms);
     }
     if (!pl_is_settled(c, u)) {
         return;
@@ -410,7 +411,7 @@
 {
     Upstream *u = l->at;
     l->next_try_ms = now_ms + ORDER_RETRY_MS;
-    switch (r->end) {
+    switch (r->outcome) {
     case PL_ACKED:
         l->acked++;
         l->ack_seq = r->seq;
@@ -439,30 +440,30 @@
                     uint64_t now_ms)
 {
     l->next_try_ms = now_ms + ORDER_RETRY_MS;
-    if (r->end == PL_ACKED) {
+    if (r->outcome == PL_ACKED) {
         l->ack_seq = r->seq;
-        if (is_final(c, l) && !l->adopted) {
+        if (is_absence_final(c, l) && !l->adopted) {
             settle_absent(c, l, now_ms);
         }
         else {
             pl_set_phase(l, LOAD_LINGERING, now_ms); /* reports decide */
         }
     }
-    else if (r->end == PL_BUSY) {
+    else if (r->outcome == PL_BUSY) {
         pl_set_phase(l, LOAD_LOADED, now_ms);
         l->last_used_ms = now_ms;
         l->next_try_ms = now_ms + REFUSED_RETRY_MS;
     }
-    else if (r->end == PL_STALE) {
+    else if (r->outcome == PL_STALE) {
         l->at->settled_epoch = 0;
     }
 }
 
-static Closing *
+static ClosingEpoch *
 find_closing(const PlCore *c, uint64_t epoch)
 {
     for (guint i = 0; i < c->closing->len; i++) {
-        Closing *k = c->closing->pdata[i];
+        ClosingEpoch *k = c->closing->pdata[i];
         if (k->epoch == epoch) {
             return k;
         }
@@ -474,12 +475,12 @@
 static void
 finish_old_order(PlCore *c, const Upstream *u, const PlOrderResult *r)
 {
-    Closing *k = find_closing(c, r->epoch);
+    ClosingEpoch *k = find_closing(c, r->epoch);
     if (!k || k->orders_out == 0) {
         return;
     }
     k->orders_out--;
-    if (r->kind == PL_LOAD && r->end == PL_UNKNOWN && !u->fenced) {
+    if (r->kind == PL_LOAD && r->outcome == PL_UNKNOWN && !u->fenced) {
         g_ptr_array_add(k->open,
                         g_strconcat(r->upstream, "\n", r->model, NULL));
     }
@@ -499,7 +500,7 @@
         return;
     }
     l->order_out = false;
-    if (r->end == PL_ACKED) {
+    if (r->outcome == PL_ACKED) {
         u->ack_seq = MAX(u->ack_seq, r->seq);
     }
     if (r->kind == PL_LOAD) {
@@ -517,7 +518,7 @@
         return;
     }
     u->fence_out = false;
-    if (r->end == PL_ACKED && r->report) {
+    if (r->outcome == PL_ACKED && r->report) {
         if (!note_boot(u, r->report->boot, u->fence_sent_ms)) {
             return;
         }
@@ -528,7 +529,7 @@
         u->settled_epoch = c->claim_epoch;
         u->fresh_ms = u->fence_sent_ms;
         u->fenced_to = MAX(u->fenced_to, r->fence);
-        u->want_fresh = false;
+        u->needs_fresh_report = false;
     }
 }
 
--- a/src/pl_own.c
+++ b/src/pl_own.c
@@ -6,11 +6,11 @@
 /* ---- ownership ---------------------------------------------------------- */
 
 static bool
-is_heard(const PlCore *c, const char *node, uint64_t now_ms)
+is_claim_respected(const PlCore *c, const char *node, uint64_t now_ms)
 {
-    const uint64_t *beat = g_hash_table_lookup(c->beats, node);
-    uint64_t since_ms = MAX(c->claim_seen_ms, c->log_turned_ms);
-    if (now_ms - since_ms < c->claim_hold_ms) {
+    const uint64_t *beat = g_hash_table_lookup(c->owner_heartbeats, node);
+    uint64_t since_ms = MAX(c->claim_seen_ms, c->log_changed_ms);
+    if (now_ms - since_ms < c->claim_grace_ms) {
         return true;
     }
     return beat && now_ms - *beat < c->params.lease_ms;
@@ -32,7 +32,8 @@
     bool handed_over =
         claim &&
         fold_is_quiesced(c->fold, c->params.data_centre, claim->epoch);
-    if (claim && !handed_over && is_heard(c, claim->holder, now_ms)) {
+    if (claim && !handed_over &&
+        is_claim_respected(c, claim->holder, now_ms)) {
         return;
     }
     c->claim_tried_ms = now_ms;
@@ -110,7 +111,7 @@
 static void
 add_closing(PlCore *c, uint64_t epoch, uint32_t orders_out, GPtrArray *open)
 {
-    Closing *k = g_new0(Closing, 1);
+    ClosingEpoch *k = g_new0(ClosingEpoch, 1);
     k->epoch = epoch;
     k->orders_out = orders_out;
     k->open = open;
@@ -137,14 +138,14 @@
    one another at every lease; each change in quick succession doubles the
    time a claim is respected unheard. */
 static void
-adapt_hold(PlCore *c, bool other, uint64_t now_ms)
+adapt_claim_grace(PlCore *c, bool other, uint64_t now_ms)
 {
     bool quick =
         other && c->caught_up && c->claim_seen_ms &&
-        now_ms - c->claim_seen_ms < 4 * c->claim_hold_ms &&
+        now_ms - c->claim_seen_ms < 4 * c->claim_grace_ms &&
         !fold_is_quiesced(c->fold, c->params.data_centre, c->claim_epoch);
-    c->claim_hold_ms = quick ? MIN(2 * c->claim_hold_ms, CLAIM_HOLD_MAX_MS)
-                             : c->params.lease_ms;
+    c->claim_grace_ms = quick ? MIN(2 * c->claim_grace_ms, CLAIM_GRACE_MAX_MS)
+                              : c->params.lease_ms;
 }
 
 void
@@ -159,7 +160,8 @@
         step_down(c);
     }
     if (!own && c->claim_epoch) {
-        adapt_hold(c, g_strcmp0(c->claim_holder, claim->holder) != 0, now_ms);
+        adapt_claim_grace(c, g_strcmp0(c->claim_holder, claim->holder) != 0,
+                          now_ms);
     }
     g_free(c->claim_holder);
     c->claim_holder = g_strdup(claim->holder);
@@ -177,7 +179,7 @@
 pl_close_epochs(PlCore *c, uint64_t now_ms)
 {
     for (guint i = c->closing->len; i > 0; i--) {
-        Closing *k = c->closing->pdata[i - 1];
+        ClosingEpoch *k = c->closing->pdata[i - 1];
         if (fold_is_quiesced(c->fold, c->params.data_centre, k->epoch)) {
             g_ptr_array_remove_index(c->closing, i - 1);
         }
@@ -227,7 +229,8 @@
    grant: nothing would end what a former owner might still load there. */
 
 const char *
-pl_pick_grant(const FoldGrant *g, const char *deployment, const char *key)
+pl_pick_grant_upstream(const FoldGrant *g, const char *deployment,
+                       const char *key)
 {
     const char *best = NULL;
     uint64_t best_hash = 0;
@@ -270,7 +273,8 @@
 is_grant_pending(const PlCore *c, const FoldGrant *g, const char *deployment,
                  const CfgModel *m)
 {
-    const char *id = pl_pick_grant(g, deployment, pl_get_grant_key(m));
+    const char *id =
+        pl_pick_grant_upstream(g, deployment, pl_get_grant_key(m));
     Upstream *u = id ? g_hash_table_lookup(c->upstreams, id) : NULL;
     if (!id || pl_find_intent(c, id, m->name)) {
         return false;
@@ -353,7 +357,7 @@
 pl_consider_refresh(PlCore *c, uint64_t now_ms)
 {
     const FoldGrant *g = pl_find_own_grant(c);
-    g_autoptr(GPtrArray) list = pl_list_granting(c);
+    g_autoptr(GPtrArray) list = pl_list_grant_upstreams(c);
     bool same = g ? g->upstreams->len == list->len : list->len == 0;
     for (guint i = 0; same && i < list->len; i++) {
         same = strcmp(((Upstream *)list->pdata[i])->id,
--- a/src/pl_place.c
+++ b/src/pl_place.c
@@ -46,9 +46,9 @@
    its replicas count on, but nobody can use them, and callers would wait for
    them until their deadlines.  Another one is decided, under the ceiling. */
 static bool
-is_answering(const Upstream *u)
+is_reachable(const Upstream *u)
 {
-    return u->missed_polls < MISSED_POLLS_SILENT;
+    return u->missed_polls < MAX_MISSED_POLLS;
 }
 
 static Replicas
@@ -70,7 +70,7 @@
         n.counted += !pl_find_intent(c, u->id, m->name);
         n.coming += l->phase < LOAD_LOADED && !l->found;
         n.usable += l->phase <= LOAD_LOADED && !u->leaving && !u->gone &&
-                    is_answering(u);
+                    is_reachable(u);
         if (l->phase == LOAD_LINGERING && pl_is_settled(c, u) && !u->gone &&
             !u->leaving && l->memory_mb == m->memory_mb) {
             n.lingering = l;
@@ -113,7 +113,7 @@
 static bool
 can_take(const PlCore *c, const Upstream *u, const CfgModel *m)
 {
-    return !u->gone && !u->leaving && pl_is_settled(c, u) && is_answering(u) &&
+    return !u->gone && !u->leaving && pl_is_settled(c, u) && is_reachable(u) &&
            strcmp(u->deployment, m->upstreams) == 0 &&
            !g_hash_table_contains(u->loads, m->name) &&
            (!m->base || is_base_loaded(u, m->base));
@@ -226,8 +226,8 @@
     gpointer p;
     g_hash_table_iter_init(&it, m->routers);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
-        const RouterWant *w = p;
-        if (now_ms - w->seen_ms > DEMAND_AGE_MS) {
+        const RouterDemand *w = p;
+        if (now_ms - w->seen_ms > DEMAND_MAX_AGE_MS) {
             continue;
         }
         d.waiting += w->waiting;
@@ -240,18 +240,18 @@
     return d;
 }
 
-static RouterWant *
-get_router_want(Model *m, const char *node)
+static RouterDemand *
+get_router_demand(Model *m, const char *node)
 {
-    RouterWant *w = g_hash_table_lookup(m->routers, node);
+    RouterDemand *w = g_hash_table_lookup(m->routers, node);
     if (!w) {
-        w = g_new0(RouterWant, 1);
+        w = g_new0(RouterDemand, 1);
         g_hash_table_insert(m->routers, g_strdup(node), w);
     }
     return w;
 }
 
-static RouterWant *
+static RouterDemand *
 note_use(PlCore *c, const char *model, const char *from, uint64_t now_ms)
 {
     Model *m = pl_get_model(c, model);
@@ -259,7 +259,7 @@
         keep_add_gap(&m->gaps, now_ms - m->last_used_ms);
     }
     m->last_used_ms = now_ms;
-    RouterWant *w = get_router_want(m, from);
+    RouterDemand *w = get_router_demand(m, from);
     w->seen_ms = now_ms;
     return w;
 }
@@ -273,20 +273,20 @@
        wanted no more. */
     g_hash_table_iter_init(&it, c->models);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
-        RouterWant *w = g_hash_table_lookup(((Model *)p)->routers, from);
+        RouterDemand *w = g_hash_table_lookup(((Model *)p)->routers, from);
         if (w) {
             w->waiting = 0;
             w->inflight = 0;
         }
     }
     for (size_t i = 0; i < d->n_wants; i++) {
-        RouterWant *w = note_use(c, d->wants[i]->model, from, now_ms);
+        RouterDemand *w = note_use(c, d->wants[i]->model, from, now_ms);
         w->waiting = d->wants[i]->waiting;
         w->deadline_ms = now_ms + d->wants[i]->slack_ms;
         w->priority = d->wants[i]->priority;
     }
     for (size_t i = 0; i < d->n_usage; i++) {
-        RouterWant *w = note_use(c, d->usage[i]->model, from, now_ms);
+        RouterDemand *w = note_use(c, d->usage[i]->model, from, now_ms);
         w->inflight = d->usage[i]->inflight;
     }
 }
@@ -298,27 +298,27 @@
     Model *model;
     Demand demand;
     int64_t rank; /* lower goes first */
-} Wanted;
+} ModelDemand;
 
 /* Deadline slack first; a step of priority is worth some slack, and a large
    model a little less.  What was waited counts in full, so that a steady
    stream of urgent wants cannot starve the others. */
 static int64_t
-rank_wanted(const Wanted *w, uint64_t now_ms)
+rank_model(const ModelDemand *w, uint64_t now_ms)
 {
     uint64_t slack_ms =
         w->demand.deadline_ms > now_ms ? w->demand.deadline_ms - now_ms : 0;
     return (int64_t)MIN(slack_ms, 600000) -
-           (int64_t)w->demand.priority * PRIORITY_WORTH_MS +
+           (int64_t)w->demand.priority * PRIORITY_SLACK_MS +
            w->cfg->memory_mb / MB_PER_SLACK_MS -
-           (int64_t)(now_ms - w->model->wanted_ms);
+           (int64_t)(now_ms - w->model->demand_since_ms);
 }
 
 static int
-compare_wanted(gconstpointer a, gconstpointer b)
+compare_ranks(gconstpointer a, gconstpointer b)
 {
-    const Wanted *x = a;
-    const Wanted *y = b;
+    const ModelDemand *x = a;
+    const ModelDemand *y = b;
     if (x->rank != y->rank) {
         return x->rank < y->rank ? -1 : 1;
     }
@@ -326,25 +326,25 @@
 }
 
 static GArray *
-list_wanted(PlCore *c, const CfgSet *cfg, uint64_t now_ms)
+list_waiting_models(PlCore *c, const CfgSet *cfg, uint64_t now_ms)
 {
-    GArray *list = g_array_new(FALSE, TRUE, sizeof(Wanted));
+    GArray *list = g_array_new(FALSE, TRUE, sizeof(ModelDemand));
     GHashTableIter it;
     gpointer p;
     g_hash_table_iter_init(&it, c->models);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         Model *m = p;
-        Wanted w = {cfg_find_model(cfg, m->name), m, merge_demand(m, now_ms),
-                    0};
+        ModelDemand w = {cfg_find_model(cfg, m->name), m,
+                         merge_demand(m, now_ms), 0};
         if (!w.cfg || w.demand.waiting == 0) {
-            m->wanted_ms = 0;
+            m->demand_since_ms = 0;
             continue;
         }
-        m->wanted_ms = m->wanted_ms ? m->wanted_ms : now_ms;
-        w.rank = rank_wanted(&w, now_ms);
+        m->demand_since_ms = m->demand_since_ms ? m->demand_since_ms : now_ms;
+        w.rank = rank_model(&w, now_ms);
         g_array_append_val(list, w);
     }
-    g_array_sort(list, compare_wanted);
+    g_array_sort(list, compare_ranks);
     return list;
 }
 
@@ -456,8 +456,8 @@
 
 /* Routers refuse all that wait for the model, at once. */
 static void
-refuse_want(PlCore *c, const Wanted *w, uint64_t retry_after_ms,
-            const char *reason, uint64_t now_ms)
+refuse_model(PlCore *c, const ModelDemand *w, uint64_t retry_after_ms,
+             const char *reason, uint64_t now_ms)
 {
     if (now_ms - w->model->refused_ms < ORDER_RETRY_MS) {
         return;
@@ -469,20 +469,22 @@
 
 /* The log is away: the standing grant only. */
 static void
-place_granted(PlCore *c, const Wanted *w, const Replicas *n, uint64_t now_ms)
+place_granted(PlCore *c, const ModelDemand *w, const Replicas *n,
+              uint64_t now_ms)
 {
     const FoldGrant *g = pl_find_own_grant(c);
-    const char *id =
-        g ? pl_pick_grant(g, w->cfg->upstreams, pl_get_grant_key(w->cfg))
-          : NULL;
+    const char *id = g ? pl_pick_grant_upstream(g, w->cfg->upstreams,
+                                                pl_get_grant_key(w->cfg))
+                       : NULL;
     Upstream *u = id ? g_hash_table_lookup(c->upstreams, id) : NULL;
     bool fits = u && u->fenced && u->confirmed && can_take(c, u, w->cfg) &&
                 pl_count_memory(c, u) + w->cfg->memory_mb <= u->capacity_mb;
     if (!fits) {
         /* An adapter's base may be on its way there. */
         if (n->usable == 0 && !(w->cfg->base && u && u->fenced)) {
-            refuse_want(c, w, LOG_AWAY_RETRY_AFTER_MS,
-                        "the log is away and the model is not loaded", now_ms);
+            refuse_model(c, w, LOG_UNREACHABLE_RETRY_AFTER_MS,
+                         "the log is away and the model is not loaded",
+                         now_ms);
         }
         return;
     }
@@ -516,16 +518,17 @@
 }
 
 static void
-refuse_if_late(PlCore *c, const Wanted *w, uint64_t start_ms, uint64_t now_ms)
+refuse_if_late(PlCore *c, const ModelDemand *w, uint64_t start_ms,
+               uint64_t now_ms)
 {
     if (start_ms + w->cfg->load_ms > w->demand.deadline_ms) {
-        refuse_want(c, w, start_ms + w->cfg->load_ms - now_ms,
-                    "loads of the model fail", now_ms);
+        refuse_model(c, w, start_ms + w->cfg->load_ms - now_ms,
+                     "loads of the model fail", now_ms);
     }
 }
 
 static void
-place_new(PlCore *c, const CfgSet *cfg, Wanted *w, const Replicas *n,
+place_new(PlCore *c, const CfgSet *cfg, ModelDemand *w, const Replicas *n,
           uint64_t now_ms)
 {
     Upstream *u = choose_upstream(c, w->cfg, false);
@@ -538,13 +541,13 @@
     u = choose_upstream(c, w->cfg, true);
     bool coming = u && evict_one(c, cfg, u, now_ms);
     if (!coming && n->usable == 0 && u) {
-        refuse_want(c, w, NO_ROOM_RETRY_AFTER_MS, "no room for the model",
-                    now_ms);
+        refuse_model(c, w, NO_ROOM_RETRY_AFTER_MS, "no room for the model",
+                     now_ms);
     }
 }
 
 static void
-place_wanted(PlCore *c, const CfgSet *cfg, Wanted *w, uint64_t now_ms)
+place_model(PlCore *c, const CfgSet *cfg, ModelDemand *w, uint64_t now_ms)
 {
     Replicas n = count_replicas(c, w->cfg);
     uint32_t asked =
@@ -576,14 +579,14 @@
 
 /* An adapter needs its base first. */
 static void
-want_base(PlCore *c, const CfgSet *cfg, Wanted *w, uint64_t now_ms)
+place_base(PlCore *c, const CfgSet *cfg, ModelDemand *w, uint64_t now_ms)
 {
-    Wanted base = *w;
+    ModelDemand base = *w;
     base.cfg = cfg_find_model(cfg, w->cfg->base);
     base.model = pl_get_model(c, w->cfg->base);
     base.model->last_used_ms = now_ms;
     if (base.cfg) {
-        place_wanted(c, cfg, &base, now_ms);
+        place_model(c, cfg, &base, now_ms);
     }
 }
 
@@ -617,7 +620,7 @@
 /* Record again what was not seen in the log, order again what was not
    answered. */
 static void
-push_load(PlCore *c, const CfgSet *cfg, Load *l, uint64_t now_ms)
+advance_load(PlCore *c, const CfgSet *cfg, Load *l, uint64_t now_ms)
 {
     Upstream *u = l->at;
     const CfgModel *m = cfg_find_model(cfg, l->model);
@@ -660,18 +663,18 @@
         return;
     }
     CfgSet *cfg = fold_get_config(c->fold);
-    g_autoptr(GArray) wanted = list_wanted(c, cfg, now_ms);
+    g_autoptr(GArray) wanted = list_waiting_models(c, cfg, now_ms);
     for (guint i = 0; i < wanted->len; i++) {
-        Wanted *w = &g_array_index(wanted, Wanted, i);
+        ModelDemand *w = &g_array_index(wanted, ModelDemand, i);
         if (w->cfg->base) {
-            want_base(c, cfg, w, now_ms);
+            place_base(c, cfg, w, now_ms);
         }
-        place_wanted(c, cfg, w, now_ms);
+        place_model(c, cfg, w, now_ms);
     }
     release_idle(c, cfg, now_ms);
     g_autoptr(GPtrArray) list = pl_list_loads(c);
     for (guint i = 0; i < list->len; i++) {
-        push_load(c, cfg, list->pdata[i], now_ms);
+        advance_load(c, cfg, list->pdata[i], now_ms);
     }
     cfg_unref(cfg);
 }
--- a/tests/script_pl.c
+++ b/tests/script_pl.c
@@ -345,7 +345,7 @@
 }
 
 static void
-finish_order(const Script *s, Node *n, const char *id, PlOrderEnd end,
+finish_order(const Script *s, Node *n, const char *id, PlOrderOutcome outcome,
              uint64_t seq, const PlReport *report)
 {
     if (get_number(id) >= s->orders->len) {
@@ -357,7 +357,7 @@
                        .upstream = o->upstream,
                        .model = o->model,
                        .load_id = o->load_id,
-                       .end = end,
+                       .outcome = outcome,
                        .fence = o->fence,
                        .epoch = o->epoch,
                        .seq = seq,
@@ -368,11 +368,12 @@
 static void
 run_done(const Script *s, Node *n, char **w)
 {
-    static const char *const ends[] = {"acked", "stale", "busy", "unsent",
-                                       "unknown"};
-    for (int i = 0; i < (int)G_N_ELEMENTS(ends); i++) {
-        if (strcmp(ends[i], w[1]) == 0) {
-            finish_order(s, n, w[0], (PlOrderEnd)i, get_number(w[2]), NULL);
+    static const char *const outcomes[] = {"acked", "stale", "busy", "unsent",
+                                           "unknown"};
+    for (int i = 0; i < (int)G_N_ELEMENTS(outcomes); i++) {
+        if (strcmp(outcomes[i], w[1]) == 0) {
+            finish_order(s, n, w[0], (PlOrderOutcome)i, get_number(w[2]),
+                         NULL);
         }
     }
 }
@@ -440,7 +441,7 @@
         run_restore(s, n);
     }
     else if (strcmp(w[0], "beat") == 0) {
-        pl_on_beat(n->core, s->now_ms, w[2], true);
+        pl_on_heartbeat(n->core, s->now_ms, w[2], true);
     }
     else if (strcmp(w[0], "demand") == 0) {
         run_demand(s, n, w + 2, count - 2);
