--- a/src/pl.h
+++ b/src/pl.h
@@ -1,11 +1,20 @@
-/* pl: placement decisions of one data centre.  What is loaded where, by
-   which owner, and when it is dropped.
+/* pl: placement of models on the upstreams of one data centre.  It decides
+   which model is loaded on which upstream and when it is unloaded.
+
+   Several placers run in a data centre.  One of them owns it: its claim is
+   the newest in the log.  The owner records an intent in the log before it
+   orders a load, and sends the order only once the intent is in effect.  So
+   whatever a paused or dead owner still sends is already counted.  The one
+   exception is the standing grant of the claim, under which some loads may be
+   ordered while the log is unreachable (pl_own.c).
+
+   Terms: an epoch is the term of one claim.  A fencing upstream refuses
+   orders whose fencing number is below the highest that it has seen.  A boot
+   is one run of an upstream's process, from start to exit.
 
    A state machine without threads, I/O or clock: events come in as calls
    with the time, actions go out through PlOutput.  It reads the Fold, which
-   its caller applies and owns, and follows one rule: an order is given only
-   under a record in effect, so whatever a paused or dead owner still sends
-   is already counted. */
+   its caller applies and owns. */
 #ifndef PL_H
 #define PL_H
 
@@ -16,24 +25,29 @@
 
 typedef struct {
     const char *node;        /* this process */
-    const char *data_centre; /* whose upstreams it may own */
-    uint32_t lease_ms;       /* an owner silent for so long is succeeded */
-    uint32_t poll_ms;        /* between reports of one upstream */
-    uint32_t max_loads;      /* from the store at once, this centre's share */
-    uint32_t load_gap_ms;    /* between starts of them, this centre's share */
-    uint32_t max_adapters;   /* in transit at once, this centre's share */
-    uint32_t gone_ms;        /* off the VM list and silent for so long: the
-                                upstream's VM no longer exists */
+    const char *data_centre; /* whose upstreams it places on */
+    uint32_t lease_ms;       /* an owner not heard from for this time is
+                                succeeded */
+    uint32_t poll_ms;        /* between polls of one upstream */
+    uint32_t max_loads;      /* concurrent loads from the weight store, this
+                                data centre's share */
+    uint32_t load_gap_ms;    /* between starts of such loads, this data
+                                centre's share */
+    uint32_t max_adapters;   /* being loaded at once, this data centre's
+                                share */
+    uint32_t gone_ms;        /* an upstream that is off the VM list and silent
+                                for this time is presumed not to exist */
     KeepPolicy keep_policy;
     uint32_t keep_min_ms;
     uint32_t keep_fixed_ms;
-    uint32_t per_replica; /* waiting requests that ask for one replica */
+    uint32_t
+        per_replica; /* waiting requests for which one replica is loaded */
     uint64_t seed;
 } PlParams;
 
 typedef enum { PL_POLL, PL_FENCE, PL_LOAD, PL_UNLOAD } PlOrderKind;
 
-/* A call to an upstream.  Text is valid during the callback only. */
+/* A call to an upstream.  Strings are valid during the callback only. */
 typedef struct {
     PlOrderKind kind;
     const char *upstream;
@@ -43,17 +57,18 @@
     const char *load_id;
     uint32_t memory_mb;
     uint32_t load_ms;
-    uint64_t fence;   /* refused by a fencing upstream that saw a higher one */
-    uint64_t epoch;   /* not to be sent once this is no longer the owner's */
-    const char *boot; /* LOAD and UNLOAD: only to this life of it */
+    uint64_t fence;   /* fencing number */
+    uint64_t epoch;   /* not to be sent once the owner's epoch has changed */
+    const char *boot; /* LOAD and UNLOAD: to this boot of the upstream only */
 } PlOrder;
 
 typedef enum {
-    PL_ACKED,    /* taken; seq and, for POLL and FENCE, report are set */
-    PL_STALE,    /* refused: old fencing number */
-    PL_BUSY,     /* refused for another reason, such as in use */
-    PL_NOT_SENT, /* never reached the upstream, or not the life it is for */
-    PL_UNKNOWN   /* may have been taken, or may be at any later time */
+    PL_ACKED,    /* accepted; seq and, for POLL and FENCE, report are set */
+    PL_STALE,    /* refused: fencing number too low */
+    PL_BUSY,     /* refused for another reason, such as a model in use */
+    PL_NOT_SENT, /* never reached the upstream, or not the boot it is for */
+    PL_UNKNOWN   /* no answer: the order may have been carried out, or may
+                    still be at any later time */
 } PlOrderOutcome;
 
 typedef struct {
@@ -63,10 +78,10 @@
     uint32_t memory_mb;
 } PlResident;
 
-/* An upstream's own report.  seq rises with each report it makes. */
+/* An upstream's report of its state. */
 typedef struct {
-    const char *boot; /* differs after each restart */
-    uint64_t seq;
+    const char *boot; /* id of this run of its process */
+    uint64_t seq;     /* rises with each report of a boot */
     uint32_t capacity_mb;
     uint32_t inflight;
     bool leaving;
@@ -82,13 +97,13 @@
     const char *model;
     const char *load_id;
     PlOrderOutcome outcome;
-    uint64_t fence;         /* the number the order carried */
+    uint64_t fence;         /* as in the order */
     uint64_t epoch;         /* as in the order */
-    uint64_t seq;           /* of the upstream when it acknowledged */
+    uint64_t seq;           /* the upstream's seq when it acknowledged */
     const PlReport *report; /* or NULL */
 } PlOrderResult;
 
-/* One line of the platform's VM list, of this data centre. */
+/* An entry of the platform's VM list, in this data centre. */
 typedef struct {
     const char *id;
     const char *deployment;
@@ -98,8 +113,11 @@
 
 typedef struct {
     void *ctx;
-    void (*append)(void *ctx, Bg__Record *r); /* takes R */
+    /* Append R to the log; the callee owns R. */
+    void (*append)(void *ctx, Bg__Record *r);
+    /* Answered by pl_on_order_done, never from within this call. */
     void (*order)(void *ctx, const PlOrder *o);
+    /* Routers refuse all requests that wait for MODEL. */
     void (*refuse)(void *ctx, const char *model, uint64_t retry_after_ms,
                    const char *reason);
 } PlOutput;
@@ -115,33 +133,34 @@
 void pl_on_vms(PlCore *c, uint64_t now_ms, const PlVm *vms, size_t count);
 void pl_on_config(PlCore *c, const CfgSet *cfg);
 void pl_on_order_done(PlCore *c, uint64_t now_ms, const PlOrderResult *r);
-/* After the fold took an entry: R had RESULT at OFFSET. */
+/* The fold has applied record R, at OFFSET in the log, with RESULT. */
 void pl_on_record(PlCore *c, uint64_t now_ms, uint64_t offset,
                   const Bg__Record *r, FoldResult result);
 void pl_on_demand(PlCore *c, uint64_t now_ms, const char *from,
                   const Bg__Demand *d);
-/* A placer of this data centre was heard.  OWNER: it owns the data centre
-   and reads the log. */
+/* A heartbeat of another placer of this data centre.  OWNER: it is the owner
+   and active (see pl_is_active). */
 void pl_on_heartbeat(PlCore *c, uint64_t now_ms, const char *node, bool owner);
-/* Whether the log answers, and whether the fold has all of it. */
+/* Whether the log is reachable, and whether the fold has applied all of it. */
 void pl_on_log(PlCore *c, uint64_t now_ms, bool reachable, bool caught_up);
-/* Stop giving orders and hand over. */
+/* The process is stopping: make no more decisions, and hand over. */
 void pl_on_drain(PlCore *c, uint64_t now_ms);
 
 /* ---- state -------------------------------------------------------------- */
 bool pl_is_owner(const PlCore *c);
-/* The epoch under which orders may be sent now; 0: none. */
+/* The epoch under which orders may be sent now; 0 if this is no owner. */
 uint64_t pl_get_order_epoch(const PlCore *c);
-/* Owner, and neither stopping nor long without the log: whoever hears so
-   need not succeed it. */
+/* Owner, and neither draining nor without the log for longer than the lease.
+   Heartbeats carry this; a placer that receives it does not claim. */
 bool pl_is_active(const PlCore *c);
-/* Nothing of this process is under way or left to hand over. */
+/* Draining is complete: no order is pending and all epochs are handed over. */
 bool pl_is_drained(const PlCore *c);
-/* Check every invariant of this core and its fold that one process can see;
-   a line for each broken one goes to FAULTS.  Returns their number. */
+/* Check the invariants of this core and its fold; append a line for each
+   violation to FAULTS.  Returns their number. */
 uint32_t pl_check(const PlCore *c, GString *faults);
-/* What routers should know: everything when FULL, else what changed since
-   the last call; NULL when nothing did.  Free with the protobuf call. */
+/* State of the upstreams to publish to routers: a snapshot when FULL, else a
+   delta since the last delta, or NULL if nothing changed.  Free with the
+   protobuf call. */
 Bg__Residency *pl_take_residency(PlCore *c, bool full);
 /* JSON; free with g_free. */
 char *pl_dump(const PlCore *c);
--- a/src/pl_int.h
+++ b/src/pl_int.h
@@ -1,23 +1,23 @@
-/* pl_int: inside of the placement core, for the pl_*.c files only.
-
-   pl.c        life, events and state
-   pl_book.c   what is known of loads, and records for the log
-   pl_own.c    who owns the data centre, and the standing grant
-   pl_order.c  orders, reports and answers of upstreams
-   pl_place.c  counts, choice and decisions
-   pl_check.c  the invariants, in one place */
+/* pl_int: internals of the placement core, for the pl_*.c files only.
+
+   pl.c        creation, events, and the published state
+   pl_book.c   look-ups of upstreams, loads and models; records for the log
+   pl_own.c    ownership of the data centre, and the standing grant
+   pl_order.c  orders to upstreams, their answers and reports
+   pl_place.c  counting of replicas and memory, choice of upstreams, decisions
+   pl_check.c  invariants */
 #ifndef PL_INT_H
 #define PL_INT_H
 
 #include "pl.h"
 
-#define MAX_MISSED_POLLS 3 /* then nobody is counted on there */
+#define MAX_MISSED_POLLS 3 /* then an upstream is unreachable */
 #define CLAIM_RETRY_MS 2000
 #define CLAIM_GRACE_MAX_MS 60000
 #define VM_LIST_WAIT_MS 3000
 #define GRANT_FIRST_MS 1000
 #define GRANT_REFRESH_MS 10000
-#define GRANT_CONFIRM_MS 3500 /* longer than a read of the log may take */
+#define GRANT_CONFIRM_MS 3500 /* more than the longest read of the log */
 #define RECORD_RETRY_MS 3000
 #define ORDER_RETRY_MS 200
 #define REFUSED_RETRY_MS 1000
@@ -32,28 +32,28 @@
 #define BACKOFF_MAX_MS 15000
 #define NO_ROOM_RETRY_AFTER_MS 2000
 #define LOG_UNREACHABLE_RETRY_AFTER_MS 5000
-#define PRIORITY_SLACK_MS 2000 /* of slack, one step of priority */
-#define MB_PER_SLACK_MS 100
+#define PRIORITY_SLACK_MS 2000 /* deadline slack that outweighs a priority */
+#define MB_PER_SLACK_MS 100    /* model size that outweighs 1 ms of slack */
 #define DRAIN_LOG_WAIT_MS 5000
-/* A replica that is there without a record is dropped after its intent lost
-   so often. */
+/* An unrecorded replica is unloaded once the log has rejected its intent this
+   many times. */
 #define MAX_LOST_INTENTS 5
 
 typedef enum {
     LOAD_RECORDING, /* intent appended, not yet in effect */
-    LOAD_ORDERING,  /* may be ordered; the upstream has not acknowledged */
+    LOAD_ORDERING,  /* intent in effect; order not yet acknowledged */
     LOAD_LOADING,   /* acknowledged */
     LOAD_LOADED,
     LOAD_UNLOADING, /* unload ordered, not acknowledged */
-    LOAD_LINGERING, /* absent, but an order for it may still arrive */
-    LOAD_SETTLING   /* absent for good; the record is on its way */
+    LOAD_LINGERING, /* absent, but a load order for it may still arrive */
+    LOAD_SETTLING   /* absent for good; settle record not yet in effect */
 } LoadPhase;
 
 static const char *const phase_names[] = {
     "recording", "ordering",  "loading", "loaded",
     "unloading", "lingering", "settling"};
 
-/* One replica, or what may become one, on one upstream. */
+/* A replica, or a possible replica, of a model on an upstream. */
 typedef struct {
     struct Upstream *at;
     char *model;
@@ -61,25 +61,27 @@
     LoadPhase phase;
     uint32_t memory_mb;
     uint64_t phase_ms;    /* when the phase began */
-    uint64_t next_try_ms; /* of its order or record */
-    bool order_out;       /* an order's answer is awaited */
-    uint64_t order_fence; /* highest number a load order carried */
-    uint64_t ack_seq;     /* reports above it know of the last order */
-    uint32_t acked;       /* load orders known to have been taken */
-    char *boot;           /* life of the upstream that its orders are for */
-    /* Load orders of unknown fate.  Each may still arrive, until that life
-       ends or, if the upstream fences, it saw a higher number. */
+    uint64_t next_try_ms; /* next attempt at its order or record */
+    bool order_out;       /* an order is with a worker */
+    uint64_t order_fence; /* highest fencing number of its load orders */
+    uint64_t ack_seq;     /* reports above it reflect the last acknowledged
+                             order */
+    uint32_t acked;       /* load orders known to have been accepted */
+    char *boot;           /* of the upstream, that its orders are for */
+    /* Load orders whose outcome is unknown.  Each may still arrive until that
+       boot ends or, on a fencing upstream, a higher number was seen. */
     uint32_t unknown;
-    bool seen_absent; /* by a report since the last load order */
-    bool adopted;     /* recorded by an earlier owner */
-    bool found;       /* reported without a record; being recorded */
-    uint32_t lost_intents;
-    uint64_t final_ms; /* ADOPTED: when its orders were first known dead */
-    bool ended;        /* the life it was for ended */
-    bool granted;      /* ordered under the standing grant */
-    bool loaded_recorded;
-    bool closed_recorded;
-    bool from_store;
+    bool seen_absent;      /* in a report since the last load order */
+    bool adopted;          /* taken over from the log when ownership began */
+    bool found;            /* reported without a record; being recorded */
+    uint32_t lost_intents; /* intents that the log rejected */
+    uint64_t final_ms;     /* ADOPTED: since when no order for it can arrive */
+    bool ended;            /* its boot has ended */
+    bool granted;          /* ordered under the standing grant */
+    bool loaded_recorded;  /* the log has it as loaded */
+    bool closed_recorded;  /* the log has that no load order of this epoch for
+                              it can still arrive */
+    bool from_store;       /* weights come from the store, not a local tier */
     uint64_t last_used_ms;
 } Load;
 
@@ -93,47 +95,49 @@
     char *id;
     char *deployment;
     char *address;        /* NULL: known from records only */
-    uint64_t gone_ms;     /* since when */
+    uint64_t gone_ms;     /* when it left the VM list */
     uint32_t capacity_mb; /* 0: no report yet */
     uint32_t inflight;
-    uint64_t seq;       /* of the newest report taken */
-    char *boot;         /* the upstream process that made it */
-    uint64_t boot_ms;   /* when the newest report of it was asked for */
-    uint64_t report_ms; /* when the last report came */
+    uint64_t seq;       /* of the newest report applied */
+    char *boot;         /* of that report */
+    uint64_t boot_ms;   /* when the newest report of this boot was requested */
+    uint64_t report_ms; /* when the last report arrived */
     uint64_t next_poll_ms;
     uint64_t poll_sent_ms;
     uint32_t missed_polls;  /* since the last report */
-    uint64_t settled_epoch; /* epoch under which it may be ordered */
-    uint64_t settled_ms;
+    uint64_t settled_epoch; /* epoch in which it was fenced and reported: it
+                               may be sent orders of that epoch */
+    uint64_t settled_ms;    /* when that was */
     uint64_t fence_sent_ms;
     uint64_t next_fence_ms;
-    uint64_t fresh_ms;     /* SEQ's report was made after this time */
-    uint64_t fenced_to;    /* highest number it acknowledged in this life */
-    uint64_t ack_seq;      /* reports above it know of every answered order */
+    uint64_t fresh_ms;     /* the newest report was made after this time */
+    uint64_t fenced_to;    /* highest number it acknowledged in this boot */
+    uint64_t ack_seq;      /* reports above it reflect all answered orders */
     GHashTable *residents; /* model -> Resident */
     GHashTable *tiers;     /* model -> GINT: 1 disk, 2 memory */
     GHashTable *loads;     /* model -> Load */
-    bool engine; /* takes orders; plain services are asked for reports only */
-    bool fenced;
+    bool engine;           /* accepts orders; other services are only polled */
+    bool fenced;           /* checks fencing numbers */
     bool leaving;
-    bool gone;  /* off the list */
-    bool dirty; /* routers do not know its state yet */
+    bool gone;  /* not on the VM list */
+    bool dirty; /* its state changed and is not yet published to routers */
     bool poll_out;
-    bool confirmed; /* SETTLED_EPOCH was still ours by the log, later */
+    bool confirmed; /* a log read that began after the fence showed this
+                       placer's claim still in force */
     bool fence_out;
-    bool needs_fresh_report; /* a report made from now on is needed */
+    bool needs_fresh_report; /* one that is made from now on */
 } Upstream;
 
-/* What the routers want of one model, and how it was used. */
+/* The routers' demand for a model, and its usage. */
 typedef struct {
     char *name;
     GHashTable *routers; /* node -> RouterDemand */
     uint64_t last_used_ms;
-    uint64_t demand_since_ms; /* since when somebody waits; 0: nobody */
-    uint64_t refused_ms;
-    uint32_t failures;     /* loads that died, in a row */
-    uint64_t next_load_ms; /* not before */
-    KeepStats gaps;
+    uint64_t demand_since_ms; /* since when requests wait; 0: none do */
+    uint64_t refused_ms;      /* when its waiting requests were refused */
+    uint32_t failures;        /* consecutive failed loads */
+    uint64_t next_load_ms;    /* no load before: back-off after failures */
+    KeepStats gaps;           /* times between uses */
 } Model;
 
 typedef struct {
@@ -144,11 +148,11 @@
     uint64_t seen_ms;
 } RouterDemand;
 
-/* An epoch of this process that has ended: its orders under way. */
+/* An epoch of this process that ended and is not yet quiesced. */
 typedef struct {
     uint64_t epoch;
-    uint32_t orders_out;
-    GPtrArray *open; /* "upstream\nmodel": orders of unknown fate */
+    uint32_t orders_out; /* still with workers */
+    GPtrArray *open; /* "upstream\nmodel" of orders whose outcome is unknown */
     uint64_t next_try_ms;
 } ClosingEpoch;
 
@@ -159,7 +163,8 @@
     BgRandom rng;
     GHashTable *upstreams;        /* id -> Upstream */
     GHashTable *models;           /* name -> Model */
-    GHashTable *owner_heartbeats; /* node -> uint64_t last heard as owner */
+    GHashTable *owner_heartbeats; /* node -> uint64_t time of its last
+                                       heartbeat as owner */
     GPtrArray *closing;           /* Closing */
     uint64_t now_ms;
     uint64_t start_ms;
@@ -172,13 +177,15 @@
     uint64_t quiesce_try_ms;
     uint64_t claim_tried_ms;
     uint64_t claim_seen_ms;  /* when the claim in force was first seen */
-    uint64_t claim_grace_ms; /* how long a claim is respected unheard */
+    uint64_t claim_grace_ms; /* how long a claim is respected without a
+ heartbeat of its holder */
     uint64_t claim_epoch;
     char *claim_holder;
     uint64_t clear_try_ms;
-    uint64_t grant_changed_ms; /* since when the grant's list is out of date */
+    uint64_t grant_changed_ms; /* since when the grant's list of upstreams is
+                                  out of date; 0: it is not */
     uint64_t store_start_ms;   /* last start of a load from the store */
-    uint32_t orders_out;       /* of claim_epoch, while owner */
+    uint32_t orders_out;       /* of claim_epoch, with workers; while owner */
     uint64_t residency_seq;
     bool owner;
 };
@@ -191,16 +198,17 @@
 } SettleOutcome;
 
 typedef struct {
-    uint32_t counted; /* replicas, loaded, on the way or possible */
-    uint32_t usable;  /* of these: loaded or on the way, where it answers */
-    uint32_t coming;  /* on the way */
+    uint32_t counted; /* loaded, loading or possible */
+    uint32_t usable;  /* of these: loaded or loading, on an upstream that is
+                         reachable and stays */
+    uint32_t coming;  /* loading */
     Load *lingering;  /* one that may be loaded again under its record */
 } Replicas;
 
-/* ---- pl.c: life, events and state ---- */
+/* ---- pl.c: creation, events, and the published state ---- */
 void pl_free_load(gpointer p);
 
-/* ---- pl_book.c: what is known of loads, and records for the log ---- */
+/* ---- pl_book.c: look-ups and records for the log ---- */
 Upstream *pl_get_upstream(PlCore *c, const char *id);
 Load *pl_find_load(const PlCore *c, const char *upstream, const char *model);
 Load *pl_add_load(Upstream *u, const char *model, LoadPhase phase,
@@ -223,7 +231,7 @@
 void pl_append_clear(PlCore *c);
 void pl_append_quiesce(PlCore *c, uint64_t epoch, const GPtrArray *open);
 
-/* ---- pl_own.c: who owns the data centre, and the standing grant ---- */
+/* ---- pl_own.c: ownership and the standing grant ---- */
 void pl_consider_claim(PlCore *c, uint64_t now_ms);
 void pl_note_claim(PlCore *c, uint64_t now_ms);
 void pl_close_epochs(PlCore *c, uint64_t now_ms);
@@ -236,7 +244,7 @@
 void pl_consider_clear(PlCore *c, uint64_t now_ms);
 void pl_consider_refresh(PlCore *c, uint64_t now_ms);
 
-/* ---- pl_order.c: orders, reports and answers of upstreams ---- */
+/* ---- pl_order.c: orders to upstreams, their answers and reports ---- */
 uint64_t pl_get_fence(const PlCore *c);
 void pl_send_order(PlCore *c, PlOrderKind kind, const Upstream *u,
                    const CfgModel *m, Load *l);
@@ -244,7 +252,7 @@
 void pl_settle_upstream(PlCore *c, Upstream *u, uint64_t now_ms);
 void pl_take_absent(PlCore *c, Load *l, uint64_t now_ms);
 
-/* ---- pl_place.c: counts, choice and decisions ---- */
+/* ---- pl_place.c: counting, choice and decisions ---- */
 uint32_t pl_count_unrecorded(const PlCore *c, const Upstream *u,
                              const char *except);
 uint32_t pl_count_memory(const PlCore *c, const Upstream *u);
