--- a/src/peer.c
+++ b/src/peer.c
@@ -19,21 +19,21 @@
 #define PROTOCOL_VERSION 2
 #define NONCE_BYTES 32
 #define PROOF_BYTES 32
-#define MAX_STRANGER_FRAME 4096 /* before the far end showed the key */
-#define MAX_QUEUED (8u * 1024 * 1024)
+#define MAX_HANDSHAKE_FRAME 4096 /* bytes, until the link is authenticated */
+#define MAX_QUEUED (8u * 1024 * 1024) /* bytes to send, for each link */
 #define REDIAL_MS 200
 #define POLL_MS 50
 #define READ_CHUNK 65536
 
 typedef struct {
     int fd;
-    int dial_index; /* which address we dialled, or -1 */
+    int dial_index; /* index of the dialled target; -1: accepted link */
     bool connecting;
-    bool hello_seen;                /* far end named itself */
-    bool up;                        /* ... and showed the key */
-    uint8_t nonce[NONCE_BYTES];     /* our challenge */
-    uint8_t far_nonce[NONCE_BYTES]; /* theirs */
-    bool doomed;
+    bool hello_seen;                /* node, data_centre and role are set */
+    bool up;                        /* the far end is authenticated */
+    uint8_t nonce[NONCE_BYTES];     /* this end's challenge */
+    uint8_t far_nonce[NONCE_BYTES]; /* the far end's challenge */
+    bool closing;                   /* the link thread will drop it */
     char *node;
     char *data_centre;
     char *role;
@@ -46,10 +46,10 @@
 typedef struct {
     struct sockaddr_in addr;
     uint64_t next_try_ms;
-    bool linked;
+    bool linked;       /* a link dialled to it exists */
     bool bridge;       /* in another data centre */
-    char *node;        /* who answered there last */
-    char *data_centre; /* of it */
+    char *node;        /* process last reached there */
+    char *data_centre; /* of that process */
 } Target;
 
 struct PeerNet {
@@ -60,11 +60,11 @@
     pthread_t thread;
     bool started;
     atomic_bool stopping;
-    pthread_mutex_t lock; /* links' membership and their out buffers */
+    pthread_mutex_t lock; /* guards LINKS and each link's out buffer */
     GPtrArray *links;     /* Link */
     GArray *targets;      /* Target */
-    uint64_t next_beat_ms;
-    uint64_t beat_seq;
+    uint64_t next_heartbeat_ms;
+    uint64_t heartbeat_seq;
     atomic_bool bridging;
 };
 
@@ -105,7 +105,7 @@
     }
 }
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation and destruction ------------------------------------------- */
 
 static void
 free_link(gpointer p)
@@ -184,7 +184,7 @@
 queue_bytes(Link *l, const GByteArray *bytes)
 {
     if (l->out->len + bytes->len > MAX_QUEUED) {
-        l->doomed = true;
+        l->closing = true;
         bg_count("peer_overflows_total", 1);
         return;
     }
@@ -205,9 +205,9 @@
 } LinkFilter;
 
 static bool
-is_wanted(const LinkFilter *f, const Link *l)
+matches_filter(const LinkFilter *f, const Link *l)
 {
-    return l->up && !l->doomed && matches(f->node, l->node) &&
+    return l->up && !l->closing && matches(f->node, l->node) &&
            matches(f->data_centre, l->data_centre) &&
            matches(f->role, l->role) &&
            (!f->not_data_centre ||
@@ -221,7 +221,7 @@
     pthread_mutex_lock(&n->lock);
     for (guint i = 0; i < n->links->len; i++) {
         Link *l = n->links->pdata[i];
-        if (is_wanted(f, l)) {
+        if (matches_filter(f, l)) {
             queue_bytes(l, bytes);
             bg_count("peer_sent_bytes_total", bytes->len);
         }
@@ -230,7 +230,7 @@
     g_byte_array_free(bytes, TRUE);
     uint64_t one = 1;
     ssize_t done = write(n->wake_fd, &one, sizeof(one));
-    (void)done; /* a full eventfd has already woken the thread */
+    (void)done; /* fails only if the eventfd is full, which wakes it too */
 }
 
 void
@@ -242,26 +242,27 @@
 }
 
 void
-peer_send_abroad(PeerNet *n, const char *role, const Bg__Frame *frame)
+peer_send_other_centres(PeerNet *n, const char *role, const Bg__Frame *frame)
 {
     LinkFilter f = {NULL, NULL, n->settings.data_centre, role};
     send_filtered(n, &f, frame);
 }
 
-/* What one end proves: that it holds the key, now, on this link.  Both
-   nonces are in it, so that a proof heard on one link is worth nothing on
-   another; the prover's comes second, so that our own proof sent back to us
-   does not pass either. */
+/* HMAC by which one end proves that it holds the key.  It covers both nonces,
+   so that a proof captured on one link is invalid on another.  The prover's
+   nonce comes second, so that a proof reflected to its sender is invalid too.
+   */
 static void
-make_proof(const PeerNet *n, const uint8_t *asked, const uint8_t *own,
-           const char *node, const char *data_centre, const char *role,
-           uint8_t out[PROOF_BYTES])
+make_proof(const PeerNet *n, const uint8_t *challenge,
+           const uint8_t *own_nonce, const char *node, const char *data_centre,
+           const char *role, uint8_t out[PROOF_BYTES])
 {
     g_autoptr(GByteArray) text = g_byte_array_new();
-    g_byte_array_append(text, asked, NONCE_BYTES);
-    g_byte_array_append(text, own, NONCE_BYTES);
-    g_autofree char *who = g_strjoin("\n", node, data_centre, role, NULL);
-    g_byte_array_append(text, (const uint8_t *)who, (guint)strlen(who));
+    g_byte_array_append(text, challenge, NONCE_BYTES);
+    g_byte_array_append(text, own_nonce, NONCE_BYTES);
+    g_autofree char *identity = g_strjoin("\n", node, data_centre, role, NULL);
+    g_byte_array_append(text, (const uint8_t *)identity,
+                        (guint)strlen(identity));
     const char *key = n->settings.shared_key;
     unsigned int len = PROOF_BYTES;
     if (!HMAC(EVP_sha256(), key, (int)strlen(key), text->data, text->len, out,
@@ -278,9 +279,9 @@
     bg_digest(a, BG_ID_LEN, out);
 }
 
-/* To a link that is not up yet. */
+/* Queue FRAME on a link that is not up yet, which send_filtered skips. */
 static void
-send_early(PeerNet *n, Link *l, const Bg__Frame *frame)
+send_handshake(PeerNet *n, Link *l, const Bg__Frame *frame)
 {
     GByteArray *bytes = pack_frame(frame);
     pthread_mutex_lock(&n->lock);
@@ -303,7 +304,7 @@
     Bg__Frame frame = BG__FRAME__INIT;
     frame.body_case = BG__FRAME__BODY_HELLO;
     frame.hello = &hello;
-    send_early(n, l, &frame);
+    send_handshake(n, l, &frame);
 }
 
 static void
@@ -318,18 +319,18 @@
     Bg__Frame frame = BG__FRAME__INIT;
     frame.body_case = BG__FRAME__BODY_HELLO_PROOF;
     frame.hello_proof = &p;
-    send_early(n, l, &frame);
+    send_handshake(n, l, &frame);
 }
 
 static void
 send_heartbeats(PeerNet *n, uint64_t now_ms)
 {
-    if (now_ms < n->next_beat_ms) {
+    if (now_ms < n->next_heartbeat_ms) {
         return;
     }
-    n->next_beat_ms = now_ms + n->settings.heartbeat_ms;
+    n->next_heartbeat_ms = now_ms + n->settings.heartbeat_ms;
     Bg__Heartbeat hb = BG__HEARTBEAT__INIT;
-    hb.seq = ++n->beat_seq;
+    hb.seq = ++n->heartbeat_seq;
     if (n->on.fill_heartbeat) {
         n->on.fill_heartbeat(n->on.ctx, &hb);
     }
@@ -347,7 +348,8 @@
     if (hello->version != PROTOCOL_VERSION ||
         hello->nonce.len != NONCE_BYTES ||
         strcmp(hello->node, n->settings.node) == 0) {
-        bg_log(BG_WARN, "peer", "Refused a link: wrong version or name.");
+        bg_log(BG_WARN, "peer",
+               "Refused a link: wrong protocol version, nonce or name.");
         return false;
     }
     memcpy(l->far_nonce, hello->nonce.data, NONCE_BYTES);
@@ -361,8 +363,8 @@
     return true;
 }
 
-/* Which of two links between the same ends stays: the one that the lower
-   name dialled.  Both ends judge alike. */
+/* Of two links between the same processes, the one dialled by the process
+   with the lower name is kept.  Both ends decide alike. */
 static bool
 is_preferred(const PeerNet *n, const Link *l)
 {
@@ -370,30 +372,30 @@
     return lower == (l->dial_index >= 0);
 }
 
-/* Under the lock.  Drop what L makes superfluous, or L itself. */
+/* Under the lock.  L came up: close the link that it duplicates, or L. */
 static void
-drop_doubles(PeerNet *n, Link *l)
+drop_duplicates(PeerNet *n, Link *l)
 {
     bool bridge = l->dial_index >= 0 &&
                   g_array_index(n->targets, Target, l->dial_index).bridge;
     for (guint i = 0; i < n->links->len; i++) {
         Link *other = n->links->pdata[i];
-        if (other == l || !other->up || other->doomed) {
+        if (other == l || !other->up || other->closing) {
             continue;
         }
         if (strcmp(other->node, l->node) == 0) {
-            *(is_preferred(n, l) ? &other->doomed : &l->doomed) = true;
+            *(is_preferred(n, l) ? &other->closing : &l->closing) = true;
         }
         else if (bridge && other->dial_index >= 0 &&
                  strcmp(other->data_centre, l->data_centre) == 0 &&
                  g_array_index(n->targets, Target, other->dial_index).bridge) {
-            l->doomed = true; /* one bridge to a data centre is enough */
+            l->closing = true; /* one bridge for each data centre */
         }
     }
 }
 
 static void
-note_target(PeerNet *n, const Link *l)
+update_target(PeerNet *n, const Link *l)
 {
     if (l->dial_index < 0) {
         return;
@@ -416,10 +418,10 @@
         bg_log(BG_WARN, "peer", "Refused a link: wrong key.");
         return false;
     }
-    note_target(n, l);
+    update_target(n, l);
     pthread_mutex_lock(&n->lock);
     l->up = true;
-    drop_doubles(n, l);
+    drop_duplicates(n, l);
     pthread_mutex_unlock(&n->lock);
     bg_log(BG_INFO, "peer", "Link to %s is up.", l->node);
     if (n->on.on_up) {
@@ -429,9 +431,9 @@
     return true;
 }
 
-/* Hello, then the proof; nothing else is taken from a stranger. */
+/* Before a link is up only a Hello, then its proof, are accepted. */
 static bool
-take_early_frame(PeerNet *n, Link *l, const Bg__Frame *frame)
+take_handshake_frame(PeerNet *n, Link *l, const Bg__Frame *frame)
 {
     if (!l->hello_seen) {
         return frame->body_case == BG__FRAME__BODY_HELLO &&
@@ -449,7 +451,7 @@
         return false;
     }
     if (!l->up) {
-        bool good = take_early_frame(n, l, frame);
+        bool good = take_handshake_frame(n, l, frame);
         bg__frame__free_unpacked(frame, NULL);
         return good;
     }
@@ -458,7 +460,7 @@
     return true;
 }
 
-/* Take every whole frame in the link's buffer. */
+/* Handle every complete frame in the link's buffer. */
 static bool
 take_frames(PeerNet *n, Link *l)
 {
@@ -468,7 +470,7 @@
         uint32_t len;
         memcpy(&len, l->in->data + at, 4);
         len = ntohl(len);
-        if (len > (l->up ? PEER_MAX_FRAME : MAX_STRANGER_FRAME)) {
+        if (len > (l->up ? PEER_MAX_FRAME : MAX_HANDSHAKE_FRAME)) {
             return false;
         }
         if (l->in->len - at - 4 < len) {
@@ -505,12 +507,12 @@
     bool good = true;
     pthread_mutex_lock(&n->lock);
     if (l->out->len > 0) {
-        ssize_t put = send(l->fd, l->out->data, l->out->len, MSG_NOSIGNAL);
-        if (put > 0) {
-            g_byte_array_remove_range(l->out, 0, (guint)put);
+        ssize_t sent = send(l->fd, l->out->data, l->out->len, MSG_NOSIGNAL);
+        if (sent > 0) {
+            g_byte_array_remove_range(l->out, 0, (guint)sent);
         }
         else {
-            good = put < 0 && (errno == EAGAIN || errno == EINTR);
+            good = sent < 0 && (errno == EAGAIN || errno == EINTR);
         }
     }
     pthread_mutex_unlock(&n->lock);
@@ -538,9 +540,9 @@
     return l;
 }
 
-/* Whether T's far end, or for a bridge its data centre, is linked already. */
+/* Whether a link to T's process, or for a bridge to its data centre, is up. */
 static bool
-is_reached(const PeerNet *n, const Target *t)
+is_already_linked(const PeerNet *n, const Target *t)
 {
     for (guint i = 0; t->node && i < n->links->len; i++) {
         const Link *l = n->links->pdata[i];
@@ -563,7 +565,7 @@
     for (guint i = 0; i < n->targets->len; i++) {
         Target *t = &g_array_index(n->targets, Target, i);
         if (t->linked || now_ms < t->next_try_ms || (t->bridge && !bridging) ||
-            is_reached(n, t)) {
+            is_already_linked(n, t)) {
             continue;
         }
         t->next_try_ms = now_ms + REDIAL_MS;
@@ -611,8 +613,9 @@
     pthread_mutex_unlock(&n->lock);
 }
 
-/* A device in between may forget a connection: sends succeed into nothing
-   and no error ever comes.  Only silence tells, so silence ends it. */
+/* A middlebox may lose a connection's state: sends then succeed but nothing
+   arrives, and no error is reported.  Only a timeout on received data
+   detects it. */
 static bool
 is_silent(const PeerNet *n, const Link *l, uint64_t now_ms)
 {
@@ -620,9 +623,9 @@
     return now_ms - since_ms > n->settings.silence_ms;
 }
 
-/* A bridge that is another placer's duty now. */
+/* A bridge of a process that no longer keeps bridges. */
 static bool
-is_retired(const PeerNet *n, const Link *l)
+is_unneeded_bridge(const PeerNet *n, const Link *l)
 {
     return l->dial_index >= 0 && !atomic_load(&n->bridging) &&
            g_array_index(n->targets, Target, l->dial_index).bridge;
@@ -631,7 +634,8 @@
 static bool
 serve_link(PeerNet *n, Link *l, short revents)
 {
-    if (l->doomed || is_retired(n, l) || is_silent(n, l, bg_now_ms())) {
+    if (l->closing || is_unneeded_bridge(n, l) ||
+        is_silent(n, l, bg_now_ms())) {
         return false;
     }
     if (revents & (POLLERR | POLLNVAL)) {
@@ -652,7 +656,7 @@
     g_array_set_size(fds, 0);
     struct pollfd p = {n->wake_fd, POLLIN, 0};
     g_array_append_val(fds, p);
-    p.fd = n->listen_fd; /* poll passes over a negative descriptor */
+    p.fd = n->listen_fd; /* poll ignores a negative descriptor */
     g_array_append_val(fds, p);
     guint count = n->links->len;
     for (guint i = 0; i < count; i++) {
--- a/src/peer.h
+++ b/src/peer.h
@@ -1,11 +1,12 @@
-/* peer: links to the system's other processes.  Frames are a four-byte
-   length (network order) and a protobuf Frame.  One thread serves all
-   links: it listens, dials the configured addresses again and again, and
-   drops a link that was silent for too long.
+/* peer: links to the system's other processes.  A frame on the wire is a
+   four-byte length (network order) and a protobuf Frame.  One thread serves
+   all links: it listens, redials the configured addresses until they are
+   linked, and drops a link on which nothing arrives within silence_ms.
 
-   Each end challenges the other: a Hello carries a fresh nonce, the answer
-   is an HMAC-SHA256 under the shared key over both nonces and what the end
-   says of itself.  Links are authenticated, not encrypted. */
+   Each end challenges the other: a Hello carries a fresh nonce, and the answer
+   is an HMAC-SHA256 under the shared key over both nonces and the identity
+   that the answering end stated in its Hello.  Links are authenticated, not
+   encrypted. */
 #ifndef PEER_H
 #define PEER_H
 
@@ -15,15 +16,15 @@
 #define PEER_MAX_FRAME (4u * 1024 * 1024)
 
 typedef struct {
-    const char *node;        /* this process, unique */
+    const char *node;        /* unique name of this process */
     const char *data_centre; /* where it runs */
     const char *role;        /* "router" or "placer" */
     const char *listen;      /* IP:PORT, or "" to only dial */
     const char *dial;        /* IP:PORT, comma-separated; may be "" */
-    const char *bridges;     /* the same, in other data centres */
+    const char *bridges;     /* the same, for other data centres */
     const char *shared_key;  /* both ends must hold it */
     uint32_t heartbeat_ms;
-    uint32_t silence_ms; /* a link without a frame for so long is dropped */
+    uint32_t silence_ms; /* a link without traffic for this time is dropped */
 } PeerSettings;
 
 /* The far end of a link, valid during a callback only. */
@@ -34,7 +35,7 @@
 } PeerInfo;
 
 typedef struct {
-    /* All run on the link thread.  FRAME belongs to the callee. */
+    /* All run on the link thread.  The callee owns FRAME. */
     void (*on_frame)(void *ctx, const PeerInfo *from, Bg__Frame *frame);
     void (*on_up)(void *ctx, const PeerInfo *peer);
     void (*on_down)(void *ctx, const PeerInfo *peer);
@@ -51,17 +52,19 @@
 void peer_stop(PeerNet *n);
 void peer_destroy(PeerNet *n);
 
-/* Send FRAME on every link that NODE, DATA_CENTRE and ROLE match (NULL:
-   any).  From any thread.  A link whose queue is full is dropped; its far
-   end gets the whole state again when it is back. */
+/* Send FRAME on every link whose far end matches NODE, DATA_CENTRE and ROLE
+   (NULL: any).  Callable from any thread.  A link whose send queue is full is
+   dropped; on_up of the next link is the time to send the full state again.
+   */
 void peer_send(PeerNet *n, const char *node, const char *data_centre,
                const char *role, const Bg__Frame *frame);
-/* Send FRAME to every linked process of ROLE in other data centres. */
-void peer_send_abroad(PeerNet *n, const char *role, const Bg__Frame *frame);
-/* Whether the addresses of other data centres are dialled; one link is kept
-   to each of them.  From any thread. */
+/* Send FRAME to every linked process of ROLE in the other data centres. */
+void peer_send_other_centres(PeerNet *n, const char *role,
+                             const Bg__Frame *frame);
+/* Whether to dial the addresses in PeerSettings.bridges; one link is kept to
+   each other data centre.  Callable from any thread. */
 void peer_set_bridging(PeerNet *n, bool on);
-/* Links up, for dumps; free with g_free. */
+/* Established links, as JSON; free with g_free. */
 char *peer_dump(PeerNet *n);
 
 #endif
