--- a/src/node.c
+++ b/src/node.c
@@ -440,7 +440,7 @@
     Bg__Frame frame = BG__FRAME__INIT;
     frame.body_case = BG__FRAME__BODY_STATUS_FETCH;
     frame.status_fetch = &s;
-    peer_send_abroad(n->peers, "placer", &frame);
+    peer_send_other_centres(n->peers, "placer", &frame);
 }
 
 /* Residency crosses at most one bridge: out from a placer of its own data
@@ -454,7 +454,7 @@
         return;
     }
     if (is_own_centre(n, of)) {
-        peer_send_abroad(n->peers, "placer", frame);
+        peer_send_other_centres(n->peers, "placer", frame);
     }
     else {
         peer_send(n->peers, NULL, node_get_data_centre(n), "router", frame);
