--- a/src/pl_int.h
+++ b/src/pl_int.h
@@ -32,8 +32,9 @@
 #define BACKOFF_MAX_MS 15000
 #define NO_ROOM_RETRY_AFTER_MS 2000
 #define LOG_UNREACHABLE_RETRY_AFTER_MS 5000
-#define PRIORITY_SLACK_MS 2000 /* deadline slack that outweighs a priority */
-#define MB_PER_SLACK_MS 100    /* model size that outweighs 1 ms of slack */
+#define PRIORITY_SLACK_MS                                                     \
+    2000                    /* deadline slack that a priority step is worth */
+#define MB_PER_SLACK_MS 100 /* model size that counts as 1 ms of slack */
 #define DRAIN_LOG_WAIT_MS 5000
 /* An unrecorded replica is unloaded once the log has rejected its intent this
    many times. */
@@ -165,7 +166,7 @@
     GHashTable *models;           /* name -> Model */
     GHashTable *owner_heartbeats; /* node -> uint64_t time of its last
                                        heartbeat as owner */
-    GPtrArray *closing;           /* Closing */
+    GPtrArray *closing;           /* ClosingEpoch */
     uint64_t now_ms;
     uint64_t start_ms;
     bool vms_known;
@@ -178,7 +179,7 @@
     uint64_t claim_tried_ms;
     uint64_t claim_seen_ms;  /* when the claim in force was first seen */
     uint64_t claim_grace_ms; /* how long a claim is respected without a
- heartbeat of its holder */
+                                heartbeat of its holder */
     uint64_t claim_epoch;
     char *claim_holder;
     uint64_t clear_try_ms;
--- a/src/pl_place.c
+++ b/src/pl_place.c
@@ -5,8 +5,8 @@
 
 /* ---- counts ------------------------------------------------------------- */
 
-/* Memory of what U holds, or may come to hold, without a record: loads
-   under the grant and found residents. */
+/* Memory of replicas on U that have no record in the log: loads under the
+   grant, and residents that were found in a report.  EXCEPT is not counted. */
 uint32_t
 pl_count_unrecorded(const PlCore *c, const Upstream *u, const char *except)
 {
@@ -24,7 +24,7 @@
     return mb;
 }
 
-/* Memory that U must be taken to use: what the log counts, and every load
+/* Upper bound of the memory in use on U: what the log counts, and every load
    that is not in the log yet. */
 uint32_t
 pl_count_memory(const PlCore *c, const Upstream *u)
@@ -42,9 +42,10 @@
     return mb;
 }
 
-/* A dead engine that stays on the VM list can't be told from a frozen one:
-   its replicas count on, but nobody can use them, and callers would wait for
-   them until their deadlines.  Another one is decided, under the ceiling. */
+/* A dead engine that is still on the VM list looks the same as a frozen one.
+   Its replicas keep counting against the ceiling.  They don't count as usable,
+   or requests would wait for them until their deadlines: another replica is
+   loaded if the ceiling allows it. */
 static bool
 is_reachable(const Upstream *u)
 {
@@ -80,7 +81,7 @@
 }
 
 typedef struct {
-    uint32_t store; /* loads under way from the weight store */
+    uint32_t store; /* loads in progress from the weight store */
     uint32_t adapters;
 } Transit;
 
@@ -120,14 +121,15 @@
 }
 
 /* Checkpoint tier: 0 remote, 1 disk, 2 memory.  Reports and cache events
-   come late and with gaps, so this is a hint for the choice only. */
+   are delayed and incomplete, so this is a hint for the choice only. */
 static int
 get_tier(const Upstream *u, const char *model)
 {
     return GPOINTER_TO_INT(g_hash_table_lookup(u->tiers, model));
 }
 
-/* Higher is better: nearest checkpoint first, then free memory. */
+/* Higher is better: by checkpoint tier, then free memory, then few requests
+   in flight. */
 static int64_t
 score_upstream(const PlCore *c, const Upstream *u, const CfgModel *m)
 {
@@ -136,8 +138,8 @@
            (int64_t)MIN(u->inflight, 255);
 }
 
-/* The best upstream for M that has room (or, with ANY_ROOM, could have);
-   NULL when there is none. */
+/* The best upstream for M with enough free memory or, with ANY_ROOM, enough
+   capacity; NULL if there is none. */
 static Upstream *
 choose_upstream(PlCore *c, const CfgModel *m, bool any_room)
 {
@@ -165,7 +167,8 @@
     return best;
 }
 
-/* Unique by the node's name, which is that of one life of one process. */
+/* Unique: the generator is seeded with the node's name, which differs for each
+   run of each process. */
 static void
 make_load_id(PlCore *c, Load *l)
 {
@@ -197,8 +200,8 @@
     return l;
 }
 
-/* A load that still counts is ordered again on the same upstream, under its
-   record; the record opens it for this epoch first. */
+/* Load a lingering replica again on the same upstream, under the record that
+   still counts it.  A new intent first opens that record for this epoch. */
 static void
 restart_load(PlCore *c, Load *l, const CfgModel *m, uint64_t now_ms)
 {
@@ -269,8 +272,8 @@
 {
     GHashTableIter it;
     gpointer p;
-    /* Each message carries all wants of its router: what it leaves out is
-       wanted no more. */
+    /* Each message carries the whole demand of its router: there is none for
+       the models that it omits. */
     g_hash_table_iter_init(&it, c->models);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         RouterDemand *w = g_hash_table_lookup(((Model *)p)->routers, from);
@@ -300,9 +303,9 @@
     int64_t rank; /* lower goes first */
 } ModelDemand;
 
-/* Deadline slack first; a step of priority is worth some slack, and a large
-   model a little less.  What was waited counts in full, so that a steady
-   stream of urgent wants cannot starve the others. */
+/* By deadline slack, reduced for priority and increased for model size.  The
+   time that requests have waited is subtracted in full, so that a steady
+   stream of urgent demand cannot starve other models. */
 static int64_t
 rank_model(const ModelDemand *w, uint64_t now_ms)
 {
@@ -363,10 +366,11 @@
     return false;
 }
 
-/* A replica that may be dropped: loaded, recorded so, with no request
-   waiting or in flight for its model on any router, and no adapter on it.
-   On an upstream that leaves no request can go to it any more, and the
-   upstream itself refuses while one still runs. */
+/* Whether L may be unloaded: it is loaded and recorded as loaded, no router
+   has requests waiting or in flight for its model, and it is the base of no
+   adapter on that upstream.  On a leaving upstream demand is not considered:
+   routers send no more requests to it, and the upstream refuses the unload
+   while a request is running. */
 static bool
 is_droppable(PlCore *c, const CfgSet *cfg, const Load *l, uint64_t now_ms)
 {
@@ -387,7 +391,7 @@
     return MAX(l->last_used_ms, pl_get_model(c, l->model)->last_used_ms);
 }
 
-/* Routers stop sending to it with the next residency. */
+/* The next published residency omits L, so that routers stop using it. */
 static void
 start_unload(Load *l, uint64_t now_ms)
 {
@@ -410,8 +414,8 @@
     return CLAMP(keep_ms, c->params.keep_min_ms, KEEP_MAX_MS);
 }
 
-/* Share of its keep time that an idle replica has used up: the one that is
-   furthest past it goes first. */
+/* Idle time as a fraction of the keep time; the replica with the highest is
+   evicted first. */
 static double
 get_staleness(PlCore *c, const CfgSet *cfg, const Load *l, uint64_t now_ms)
 {
@@ -421,9 +425,9 @@
     return idle_ms / (double)MAX(MIN(keep_ms, KEEP_MAX_MS), 1);
 }
 
-/* Drop one unused replica on U; true when one is on its way, or will be:
-   one that has not stayed for as long as its load takes is spared, so that
-   two models do not push each other out in turn. */
+/* Evict an unused replica from U.  True if one is being unloaded or will be
+   evictable later: a replica is kept for at least its load time, so that two
+   models do not evict each other in turn. */
 static bool
 evict_one(PlCore *c, const CfgSet *cfg, Upstream *u, uint64_t now_ms)
 {
@@ -454,7 +458,7 @@
     return victim != NULL || young;
 }
 
-/* Routers refuse all that wait for the model, at once. */
+/* Have routers refuse all waiting requests for the model. */
 static void
 refuse_model(PlCore *c, const ModelDemand *w, uint64_t retry_after_ms,
              const char *reason, uint64_t now_ms)
@@ -467,7 +471,7 @@
     c->out.refuse(c->out.ctx, w->cfg->name, retry_after_ms, reason);
 }
 
-/* The log is away: the standing grant only. */
+/* Load under the standing grant while the log is unreachable. */
 static void
 place_granted(PlCore *c, const ModelDemand *w, const Replicas *n,
               uint64_t now_ms)
@@ -480,7 +484,7 @@
     bool fits = u && u->fenced && u->confirmed && can_take(c, u, w->cfg) &&
                 pl_count_memory(c, u) + w->cfg->memory_mb <= u->capacity_mb;
     if (!fits) {
-        /* An adapter's base may be on its way there. */
+        /* The base of an adapter may still be loading there. */
         if (n->usable == 0 && !(w->cfg->base && u && u->fenced)) {
             refuse_model(c, w, LOG_UNREACHABLE_RETRY_AFTER_MS,
                          "the log is away and the model is not loaded",
@@ -495,12 +499,13 @@
     l->granted = true;
     note_start(c, l, w->cfg, now_ms);
     bg_count("placer_granted_loads_total", 1);
-    bg_log(BG_WARN, "place", "Log away: %s goes on %s under the grant.",
-           w->cfg->name, u->id);
+    bg_log(BG_WARN, "place",
+           "Log unreachable: loading %s on %s under the grant.", w->cfg->name,
+           u->id);
 }
 
-/* This data centre's standing share of the store's rate and of adapters in
-   transit. */
+/* Whether loading M now keeps to this data centre's share of the limits for
+   loads from the store and for adapters. */
 static bool
 has_budget(const PlCore *c, const CfgSet *cfg, const CfgModel *m, int tier,
            uint64_t now_ms)
@@ -567,7 +572,7 @@
         }
     }
     else if (n.counted >= w->cfg->replicas) {
-        return; /* the ceiling: what counts is not all usable */
+        return; /* at the ceiling, though not all replicas are usable */
     }
     else if (!c->log_reachable) {
         place_granted(c, w, &n, now_ms);
@@ -577,7 +582,7 @@
     }
 }
 
-/* An adapter needs its base first. */
+/* Place the base of an adapter, which must be loaded first. */
 static void
 place_base(PlCore *c, const CfgSet *cfg, ModelDemand *w, uint64_t now_ms)
 {
@@ -590,8 +595,8 @@
     }
 }
 
-/* With the log away nothing is released: the memory could not be counted
-   free, and a successor may already use the replica. */
+/* Unload idle replicas.  Not without the log: the memory could not be recorded
+   as free, and a successor may already use the replica. */
 static void
 release_idle(PlCore *c, const CfgSet *cfg, uint64_t now_ms)
 {
@@ -617,8 +622,7 @@
     return m ? m->replicas : 0;
 }
 
-/* Record again what was not seen in the log, order again what was not
-   answered. */
+/* Send or repeat the record or order that L's phase requires. */
 static void
 advance_load(PlCore *c, const CfgSet *cfg, Load *l, uint64_t now_ms)
 {
@@ -650,7 +654,7 @@
     }
     else if (l->phase == LOAD_LINGERING && u->fenced && l->unknown > 0 &&
              pl_get_fence(c) <= l->order_fence && c->log_reachable) {
-        /* Any record moves the offset on, and with it the fencing number. */
+        /* Any record advances the log's offset, and so the fencing number. */
         l->next_try_ms = now_ms + RECORD_RETRY_MS;
         pl_append_intent(c, l, get_ceiling(m), m && m->base);
     }
@@ -679,12 +683,13 @@
     cfg_unref(cfg);
 }
 
-/* ---- upstreams that are gone -------------------------------------------- */
+/* ---- upstreams that no longer exist ------------------------------------- */
 
-/* The list alone proves nothing: it lags, and a frozen VM may be missing
-   from it.  Off the list and silent for gone_ms together is taken as the
-   end of the VM.  Should it come back, it is fenced and its report counted
-   before anything else is placed there. */
+/* Settle the loads of an upstream whose VM is presumed not to exist.  Absence
+   from the VM list alone is no proof: the list lags, and a frozen VM may be
+   missing from it.  Off the list and silent for gone_ms is taken as the end of
+   the VM.  If it returns, it is fenced and its report counted before anything
+   is placed there. */
 void
 pl_settle_lost(PlCore *c, Upstream *u, uint64_t now_ms)
 {
