--- a/src/pl_own.c
+++ b/src/pl_own.c
@@ -5,6 +5,9 @@
 
 /* ---- ownership ---------------------------------------------------------- */
 
+/* Whether the claim of NODE must be respected: its heartbeats are recent, or
+   too little time has passed to tell since the claim was first seen or the
+   log's reachability changed. */
 static bool
 is_claim_respected(const PlCore *c, const char *node, uint64_t now_ms)
 {
@@ -16,10 +19,10 @@
     return beat && now_ms - *beat < c->params.lease_ms;
 }
 
-/* Claim the data centre when nobody holds it, its holder has handed over or
-   fell silent.  Silence only starts the race; the log decides it, and the
-   fencing number and the recorded intents keep a holder that was merely
-   paused harmless. */
+/* Claim the data centre if it has no claim, or if the holder has handed over
+   or has not been heard from within the lease.  Several placers may claim at
+   once: the log decides.  A holder that was only paused can do no harm, since
+   its orders carry lower fencing numbers and its intents are recorded. */
 void
 pl_consider_claim(PlCore *c, uint64_t now_ms)
 {
@@ -51,8 +54,8 @@
     }
 }
 
-/* Take up an intent of the log, whoever recorded it.  The fate of its
-   orders is unknown; reports settle it, see take_absent. */
+/* Take over an intent from the log, whoever recorded it.  The outcome of its
+   orders is unknown; reports resolve it, see pl_take_absent. */
 static void
 adopt_intent(void *ctx, const FoldIntent *in)
 {
@@ -90,8 +93,8 @@
            c->params.data_centre, (unsigned long long)epoch);
 }
 
-/* Orders of unknown fate on upstreams that do not fence: they may arrive
-   at any later time. */
+/* Load orders of unknown outcome on upstreams that do not fence: they may
+   arrive at any later time. */
 static GPtrArray *
 list_open_orders(const PlCore *c)
 {
@@ -107,7 +110,7 @@
     return open;
 }
 
-/* OPEN is taken over. */
+/* Takes ownership of OPEN. */
 static void
 add_closing(PlCore *c, uint64_t epoch, uint32_t orders_out, GPtrArray *open)
 {
@@ -118,12 +121,12 @@
     g_ptr_array_add(c->closing, k);
 }
 
-/* Nothing is ordered from here on under the old epoch.  Orders that are
-   with a worker are counted; once each was answered, failed or was dropped
-   unsent, the quiesce record says so and a successor stops counting what
-   they might have loaded.  A worker checks the epoch just before it sends,
-   which makes a late order rare; that no late order breaks a ceiling rests
-   on the count alone. */
+/* No order is given under the old epoch from here on.  Orders that workers
+   still hold are counted.  Once each of them was answered, has failed or was
+   dropped unsent, the quiesce record is appended, and the successor stops
+   counting what they might have loaded.  A worker checks the epoch just before
+   it sends, which makes late orders rare; that none of them exceeds a ceiling
+   is ensured by the count alone. */
 static void
 step_down(PlCore *c)
 {
@@ -134,9 +137,9 @@
     forget_loads(c);
 }
 
-/* Two placers that cannot hear each other would take the data centre from
-   one another at every lease; each change in quick succession doubles the
-   time a claim is respected unheard. */
+/* Two placers that are not linked would take the data centre from each other
+   at every lease.  So each change of holder in quick succession doubles the
+   time for which a claim is respected without heartbeats. */
 static void
 adapt_claim_grace(PlCore *c, bool other, uint64_t now_ms)
 {
@@ -204,9 +207,9 @@
     return false;
 }
 
-/* Hand over at a stop: once nothing is under way the quiesce record ends
-   the epoch, and a successor claims without waiting for the lease.  Loads
-   that an upstream has acknowledged go on there. */
+/* Hand over while draining.  Once no order or intent is pending, the quiesce
+   record ends the epoch, and a successor claims without waiting for the lease.
+   Loads that an upstream has acknowledged continue there. */
 void
 pl_hand_over(PlCore *c, uint64_t now_ms)
 {
@@ -221,12 +224,13 @@
 
 /* ---- standing grant ----------------------------------------------------- */
 
-/* While the log is away nobody can record an intent, and nobody can claim.
-   The claim in force names the data centre's fencing upstreams; each model
-   may be loaded on one of them, the first by rendezvous hash, without an
-   intent.  A successor counts a possible replica there until it has fenced
-   that upstream and seen its report.  Upstreams that do not fence have no
-   grant: nothing would end what a former owner might still load there. */
+/* While the log is unreachable no placer can record an intent or claim.  The
+   claim in force carries a grant, which lists the data centre's fencing
+   upstreams.  Under it the owner may load each model without an intent on one
+   of these, the first by rendezvous hash.  A successor counts a possible
+   replica there until it has fenced that upstream and seen its report.
+   Upstreams that do not fence are not in the grant, as nothing could stop a
+   former owner from loading there later. */
 
 const char *
 pl_pick_grant_upstream(const FoldGrant *g, const char *deployment,
@@ -247,7 +251,7 @@
     return best;
 }
 
-/* An adapter goes where its base goes. */
+/* The key of the rendezvous hash; an adapter goes where its base goes. */
 const char *
 pl_get_grant_key(const CfgModel *m)
 {
@@ -267,8 +271,8 @@
     return NULL;
 }
 
-/* Whether an earlier owner may hold a replica of M on the upstream that
-   DEPLOYMENT's grant names, unknown to the log. */
+/* Whether M may have been loaded by an earlier owner, without a record, on the
+   upstream that G grants for it in DEPLOYMENT. */
 static bool
 is_grant_pending(const PlCore *c, const FoldGrant *g, const char *deployment,
                  const CfgModel *m)
@@ -304,7 +308,7 @@
     return n;
 }
 
-/* Whether U holds something that no intent counts. */
+/* Whether U holds a replica without an intent. */
 static bool
 has_unrecorded(const PlCore *c, const Upstream *u)
 {
@@ -319,7 +323,8 @@
     return false;
 }
 
-/* Once all that earlier grants cover was fenced and is recorded, say so. */
+/* Once all upstreams of earlier grants are fenced, and all their replicas
+   recorded, append a clear record, which ends those grants. */
 void
 pl_consider_clear(PlCore *c, uint64_t now_ms)
 {
@@ -351,8 +356,9 @@
     }
 }
 
-/* A claim's grant names the upstreams that were known then.  When they have
-   changed for a while the owner claims anew. */
+/* The grant lists the upstreams that were known at the time of the claim.  If
+   they differ for GRANT_REFRESH_MS (or GRANT_FIRST_MS without a grant), the
+   owner claims again. */
 void
 pl_consider_refresh(PlCore *c, uint64_t now_ms)
 {
@@ -372,7 +378,7 @@
     }
     const GPtrArray *all = fold_get_grants(c->fold, c->params.data_centre);
     if (all && all->len >= FOLD_MAX_GRANTS) {
-        return; /* a claim would have none; wait until some are cleared */
+        return; /* a new claim would get no grant until some are cleared */
     }
     uint32_t wait_ms = g ? GRANT_REFRESH_MS : GRANT_FIRST_MS;
     if (!c->log_reachable || now_ms - c->grant_changed_ms < wait_ms ||
