--- a/src/pl_order.c
+++ b/src/pl_order.c
@@ -4,10 +4,10 @@
 
 /* ---- orders ------------------------------------------------------------- */
 
-/* The fencing number of an order is the log's offset as this owner knows
-   it.  A successor's claim has a higher offset than any that this owner
-   saw while it held the claim, and a later order of this owner outranks
-   its earlier ones, so an order that was stuck on the way is refused. */
+/* The fencing number of an order is the newest log offset that this owner has
+   applied.  A successor's claim has a higher offset than any that this owner
+   saw while its claim was in force, and later orders of this owner have higher
+   numbers than its earlier ones.  So a delayed order is refused. */
 uint64_t
 pl_get_fence(const PlCore *c)
 {
@@ -40,7 +40,7 @@
     c->out.order(c->out.ctx, &o);
 }
 
-/* While a load is under way its callers wait for the next report. */
+/* Shorter while a load is in progress, as requests wait for its completion. */
 static uint32_t
 get_poll_interval_ms(const PlCore *c, const Upstream *u)
 {
@@ -59,8 +59,8 @@
     return c->params.poll_ms;
 }
 
-/* An upstream off the list is asked too, less often: the list lags and may
-   be wrong, and an upstream that answers is there. */
+/* An upstream that is off the VM list is polled too, less often: the list lags
+   and may be wrong, and an upstream that answers exists. */
 void
 pl_poll_upstream(PlCore *c, Upstream *u, uint64_t now_ms)
 {
@@ -73,16 +73,16 @@
     pl_send_order(c, PL_POLL, u, NULL, NULL);
 }
 
-/* Before the first order of an epoch the upstream is sent a fence.  One
-   that checks numbers takes nothing older from then on.  Its answer, of
-   either kind of upstream, carries a report made after the fence was sent,
+/* Send the fence that precedes the first order of an epoch.  An upstream that
+   checks fencing numbers accepts no older order from then on.  With either
+   kind of upstream, the answer carries a report made after the fence was sent,
    while other reports lag. */
 void
 pl_settle_upstream(PlCore *c, Upstream *u, uint64_t now_ms)
 {
     bool needed = !pl_is_settled(c, u) || u->needs_fresh_report;
-    /* Without the log this owner cannot know whether it was succeeded, and
-       an upstream that was restarted has forgotten its successor's number. */
+    /* Without the log this owner cannot know whether it was succeeded, and a
+       restarted upstream has lost the fencing number of a successor. */
     if (!needed || !u->engine || !c->log_reachable || u->gone || !u->address ||
         u->fence_out || c->draining || now_ms < u->next_fence_ms) {
         return;
@@ -151,12 +151,13 @@
     copy_tier(u->tiers, r->memory_tier, 2);
 }
 
-/* Whether no order that could bring L is left: then a report that lacks it
-   is its end.  Three kinds of orders could.  Ours with a worker: order_out.
-   Ours of unknown fate: dead once a fencing upstream acknowledged a higher
-   number (a restart ends the load itself, see end_previous_boot).  Those
-   of earlier owners: dead on a fencing upstream that was fenced in this
-   epoch; on any other only when the fold has them closed. */
+/* Whether no order that could load L can arrive any more, so that a report
+   without it is final.  Three kinds of orders could:
+   - ours with a worker: order_out;
+   - ours of unknown outcome: void once a fencing upstream acknowledged a
+     higher number (for a restart see end_previous_boot);
+   - those of earlier owners: void on a fencing upstream that was fenced in
+     this epoch; on any other only once the fold has them closed. */
 static bool
 is_absence_final(const PlCore *c, const Load *l)
 {
@@ -192,12 +193,11 @@
     m->failures++;
     m->next_load_ms = now_ms + MIN(BACKOFF_MIN_MS << shift, BACKOFF_MAX_MS);
     bg_count("placer_load_failures_total", 1);
-    bg_log(BG_WARN, "place", "Load of %s on %s died.", l->model, l->at->id);
+    bg_log(BG_WARN, "place", "Load of %s on %s failed.", l->model, l->at->id);
 }
 
-/* Record that it is loaded, and that no load order of ours for it can
-   still arrive, once that is so: then its absence is final for whoever
-   succeeds us. */
+/* Record that L is loaded and, once no load order of ours for it can still
+   arrive, that it is closed: then its absence is final for a successor. */
 static void
 record_loaded(PlCore *c, Load *l, uint64_t now_ms)
 {
@@ -217,7 +217,7 @@
 {
     if (l->unknown > 0 && l->acked == 0 &&
         strcmp(r->load_id, l->load_id) == 0) {
-        l->unknown--; /* this one brought it */
+        l->unknown--; /* the order that loaded it */
         l->acked++;
     }
     if (r->state == 1) {
@@ -250,9 +250,9 @@
             u->needs_fresh_report || (u->fenced && l->unknown > 0);
         return;
     }
-    /* Reports lag: one made before the last of its orders arrived says
-       nothing.  For our own orders ack_seq tells; of an earlier owner's we
-       know only that by final_ms none was left. */
+    /* Reports lag: one made before the last of its orders arrived proves
+       nothing.  For our own orders ack_seq shows this; of an earlier owner's
+       we know only that none could arrive after final_ms. */
     if (l->adopted) {
         l->final_ms = l->final_ms ? l->final_ms : now_ms;
         if (u->fresh_ms < l->final_ms) {
@@ -282,9 +282,9 @@
     }
 }
 
-/* A resident that no record counts: loaded under a grant by an owner that
-   died before the log was back, or left over on an upstream that was taken
-   for gone.  It is counted from now on; then it is recorded or dropped. */
+/* A resident without a record: loaded under a grant by an owner that died
+   before the log was reachable again, or left on an upstream that was presumed
+   not to exist.  It is counted from now on, and then recorded or unloaded. */
 static void
 find_resident(PlCore *c, Upstream *u, const char *model, const Resident *r,
               uint64_t now_ms)
@@ -298,7 +298,7 @@
     CfgSet *cfg = fold_get_config(c->fold);
     const CfgModel *m = cfg_find_model(cfg, model);
     if (m && l->memory_mb == 0) {
-        l->memory_mb = m->memory_mb; /* the report does not say */
+        l->memory_mb = m->memory_mb; /* not in the report */
     }
     cfg_unref(cfg);
     l->boot = g_strdup(u->boot);
@@ -321,10 +321,10 @@
     }
 }
 
-/* A restarted upstream has lost its replicas, its count of reports and the
-   fencing number it was raised to: it must be fenced again before the next
-   order.  Answers overtake each other; one of a former life is passed over.
-   False then. */
+/* Check the boot of a report.  A restarted upstream has lost its replicas, its
+   report sequence and its fencing number, and must be fenced again before the
+   next order.  Answers may overtake each other: false if this one is of an
+   earlier boot, and so to be ignored. */
 static bool
 note_boot(Upstream *u, const char *boot, uint64_t sent_ms)
 {
@@ -350,8 +350,8 @@
     return true;
 }
 
-/* A load for a former life of the upstream ended with it: orders for it go
-   over connections to that life, see the worker's check. */
+/* A load for an earlier boot of the upstream ended with that boot: its orders
+   go over connections to that boot only, see check_boot in main_placer.c. */
 static void
 end_previous_boot(PlCore *c, Load *l, uint64_t now_ms)
 {
@@ -381,7 +381,7 @@
     }
     u->report_ms = now_ms;
     if (r->seq <= u->seq) {
-        return; /* older than what is known */
+        return; /* older than the last one applied */
     }
     copy_report(u, r);
     if (!c->owner) {
@@ -420,12 +420,12 @@
         }
         break;
     case PL_UNKNOWN:
-        /* The same load is ordered again; it is the same replica on the
-           same upstream, so a second arrival adds none. */
+        /* The same load is ordered again.  It is the same replica on the same
+           upstream, so that a second arrival adds none. */
         l->unknown++;
         break;
     case PL_STALE:
-        u->settled_epoch = 0; /* fence again; refused if we are succeeded */
+        u->settled_epoch = 0; /* fence again; refused if succeeded */
         break;
     case PL_BUSY:
         l->next_try_ms = now_ms + REFUSED_RETRY_MS;
@@ -446,7 +446,7 @@
             settle_absent(c, l, now_ms);
         }
         else {
-            pl_set_phase(l, LOAD_LINGERING, now_ms); /* reports decide */
+            pl_set_phase(l, LOAD_LINGERING, now_ms); /* until a report */
         }
     }
     else if (r->outcome == PL_BUSY) {
