--- a/src/pl.c
+++ b/src/pl.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation and destruction ------------------------------------------- */
 
 void
 pl_free_load(gpointer p)
@@ -121,7 +121,8 @@
     g_hash_table_foreach_remove(c->upstreams, pl_is_forgettable, c);
 }
 
-/* Unknown deployments count as ignoring the numbers: the safe side. */
+/* An unknown deployment counts as not fencing, which is the safe assumption.
+ */
 static void
 note_fencing(Upstream *u, const CfgSet *cfg)
 {
@@ -151,22 +152,22 @@
         u->dirty = true;
     }
     if (g_strcmp0(u->address, vm->address) != 0) {
-        /* An id that is back under another address is a new upstream. */
+        /* An id that returns with another address is a new upstream. */
         g_free(u->address);
         u->address = g_strdup(vm->address);
         u->leaving = false;
         u->dirty = true;
     }
     note_fencing(u, cfg);
-    /* A list that lags may still call a leaver live: leaving is one-way
-       for an id. */
+    /* Leaving is permanent for an id: a list that lags may still show a
+       leaving upstream as live. */
     if ((vm->leaving && !u->leaving) || u->gone) {
         u->dirty = true;
     }
     u->leaving = u->leaving || vm->leaving;
     if (u->gone) {
         u->gone = false;
-        u->settled_epoch = 0; /* fence and report before any order */
+        u->settled_epoch = 0; /* fence it before any order */
     }
 }
 
@@ -195,7 +196,8 @@
     cfg_unref(cfg);
 }
 
-/* An intent took effect that was given up before: it was never ordered. */
+/* Settle an intent that took effect after its load was given up.  No order was
+   sent under it. */
 static void
 settle_orphan(PlCore *c, const Bg__IntentRecord *r)
 {
@@ -219,7 +221,7 @@
 {
     bg_count("placer_intents_lost_total", 1);
     if (pl_find_intent(c, l->at->id, l->model)) {
-        return; /* counts already; step down or the next report decides */
+        return; /* counted already; a step-down or report resolves it */
     }
     if (!l->found && !l->granted) {
         if (l->phase == LOAD_RECORDING) {
@@ -227,8 +229,8 @@
         }
         return;
     }
-    /* It is there, or may be, beyond what was decided: drop it unless what
-       stands against it goes first. */
+    /* The replica exists, or may exist, but the log rejected its intent.  Try
+       again, and unload it if the rejections continue. */
     l->next_try_ms = now_ms + REFUSED_RETRY_MS;
     if (++l->lost_intents >= MAX_LOST_INTENTS && !l->order_out) {
         pl_set_phase(l, LOAD_UNLOADING, now_ms);
@@ -311,7 +313,7 @@
     g_hash_table_replace(c->owner_heartbeats, g_strdup(node), beat);
 }
 
-/* Whether the standing grant covers L where it is. */
+/* Whether the standing grant allows L on its upstream. */
 static bool
 is_covered(const PlCore *c, const CfgSet *cfg, const Load *l)
 {
@@ -324,9 +326,10 @@
            pl_is_settled(c, l->at) && strcmp(id, l->at->id) == 0;
 }
 
-/* An intent that waits for a log that went away blocks its model.  Under the
-   grant the load goes on.  Any other is given up: nothing was ordered under
-   it, and should it take effect later it is settled then. */
+/* The log became unreachable: a load whose intent is pending would block its
+   model.  If the grant covers it, it is ordered under the grant.  Otherwise it
+   is given up: no order was sent for it, and if its intent takes effect later,
+   settle_orphan settles it. */
 static void
 give_up_recording(PlCore *c)
 {
@@ -349,9 +352,9 @@
     cfg_unref(cfg);
 }
 
-/* A grant holds on a life of an upstream that was fenced while the claim
-   was in force.  Only a log read that began after the fence proves that, so
-   one that ends a read's longest time after it. */
+/* The grant is valid on a boot of an upstream that was fenced while the claim
+   was in force.  Only a log read that began after the fence proves that: one
+   that ends more than the longest read time after it. */
 static void
 confirm_grants(PlCore *c, uint64_t now_ms)
 {
@@ -401,16 +404,16 @@
         c->closing->len == 0 &&
         (!c->owner ||
          fold_is_quiesced(c->fold, c->params.data_centre, c->claim_epoch));
-    /* Without the log there is nothing to hand over with; the successor
-       then counts what is open. */
+    /* Without the log no quiesce record can be appended; the successor then
+       counts the open orders. */
     return handed_over ||
            (!c->log_reachable && c->now_ms - c->drain_ms > DRAIN_LOG_WAIT_MS);
 }
 
 /* ---- state -------------------------------------------------------------- */
 
-/* Only what this owner counts is told to routers, and nothing that is about
-   to be dropped. */
+/* Publish only residents that this owner counts and that are not about to be
+   unloaded. */
 static void
 add_resident(Bg__UpstreamState *s, const Load *l, const Resident *from)
 {
--- a/src/pl_book.c
+++ b/src/pl_book.c
@@ -135,14 +135,15 @@
             c->now_ms - c->log_changed_ms < c->params.lease_ms);
 }
 
-/* Whether U may be given orders under the claim in force. */
+/* Whether U was fenced and reported under the claim in force, and so may be
+   sent orders. */
 bool
 pl_is_settled(const PlCore *c, const Upstream *u)
 {
     return u->settled_epoch == c->claim_epoch && u->settled_epoch > 0;
 }
 
-/* Off the list and silent for so long that its VM is taken not to exist. */
+/* Off the VM list and silent for gone_ms: its VM is presumed not to exist. */
 bool
 pl_is_lost(const PlCore *c, const Upstream *u)
 {
@@ -164,7 +165,7 @@
     return strcmp((*(Upstream *const *)a)->id, (*(Upstream *const *)b)->id);
 }
 
-/* Upstreams of the standing grant, as far as they are known now. */
+/* Upstreams that a grant would list now, sorted by id. */
 GPtrArray *
 pl_list_grant_upstreams(const PlCore *c)
 {
@@ -266,7 +267,7 @@
     c->out.append(c->out.ctx, rec_copy(&rec));
 }
 
-/* OPEN: "upstream\nmodel" of orders of unknown fate. */
+/* OPEN: "upstream\nmodel" of orders whose outcome is unknown. */
 void
 pl_append_quiesce(PlCore *c, uint64_t epoch, const GPtrArray *open)
 {
