--- a/src/pl_check.c
+++ b/src/pl_check.c
@@ -16,12 +16,14 @@
                                l->model, l->at->id, phase_names[l->phase]);
     }
     if (l->granted && !l->at->fenced) {
-        g_string_append_printf(faults, "%s on %s: grant without fencing\n",
-                               l->model, l->at->id);
+        g_string_append_printf(
+            faults, "%s on %s: granted, but the upstream does not fence\n",
+            l->model, l->at->id);
     }
     if (in && strcmp(in->load_id, l->load_id) != 0 &&
         l->phase != LOAD_RECORDING) {
-        g_string_append_printf(faults, "%s on %s: another load is recorded\n",
+        g_string_append_printf(faults,
+                               "%s on %s: the record has another load id\n",
                                l->model, l->at->id);
     }
 }
@@ -31,11 +33,13 @@
 {
     uint32_t mb = fold_count_memory(c->fold, c->params.data_centre, u->id);
     if (u->capacity_mb && mb > u->capacity_mb) {
-        g_string_append_printf(faults, "%s: %u MB recorded of %u\n", u->id, mb,
-                               u->capacity_mb);
+        g_string_append_printf(faults, "%s: %u MB recorded, capacity %u MB\n",
+                               u->id, mb, u->capacity_mb);
     }
     if (u->settled_epoch > c->claim_epoch) {
-        g_string_append_printf(faults, "%s: settled in the future\n", u->id);
+        g_string_append_printf(
+            faults, "%s: settled under a later epoch than the claim's\n",
+            u->id);
     }
     g_autoptr(GPtrArray) list = pl_list_loads_at(u);
     for (guint i = 0; c->owner && i < list->len; i++) {
