--- a/src/main_placer.c
+++ b/src/main_placer.c
@@ -1,6 +1,7 @@
-/* bglade-placer: owns the upstreams of its data centre.  Shell around the
-   placement core: order and report calls run on worker threads, the VM list
-   on one of its own. */
+/* bglade-placer: decides which models are loaded on the upstreams of its data
+   centre.  The decisions are made by the placement core (pl.h).  This file
+   does its I/O: worker threads call upstreams for orders and reports, and a
+   thread of its own fetches the VM list. */
 #include "hc.h"
 #include "js.h"
 #include "node.h"
@@ -19,21 +20,21 @@
 #define ORDER_TOTAL_MS 2000
 #define POLL_TOTAL_MS 1000
 #define RESIDENCY_FULL_MS 5000
-/* An order that waited so long for a worker is not sent: its process was
-   paused or is far behind, and its owner has decided anew. */
+/* An order that waited longer for a worker is not sent: the process was paused
+   or is overloaded, and the core has decided anew since. */
 #define ORDER_MAX_AGE_MS 1500
 
 static const IniRule rules[] = {
     {"vms", "address", INI_ADDRESS, true, NULL, 0, 0, NULL,
      "the platform's list of VMs"},
     {"vms", "poll_ms", INI_INT, false, "500", 10, 600000, NULL,
-     "between looks at the list"},
+     "between polls of the list"},
     {"placer", "lease_ms", INI_INT, false, "2000", 100, 600000, NULL,
-     "an owner silent for so long is succeeded"},
+     "an owner not heard from for this time is succeeded"},
     {"placer", "poll_ms", INI_INT, false, "200", 10, 600000, NULL,
-     "between reports of one upstream"},
+     "between polls of one upstream"},
     {"placer", "data_centres", INI_INT, false, "1", 1, 1000, NULL,
-     "data centres that share the weight store, each an equal share"},
+     "data centres that share the weight store in equal parts"},
     {"placer", "store_at_once", INI_INT, false, "4", 1, 100000, NULL,
      "loads from the store at once, all data centres together"},
     {"placer", "store_starts_per_minute", INI_INT, false, "180", 1, 1000000,
@@ -41,7 +42,7 @@
     {"placer", "adapters_at_once", INI_INT, false, "32", 1, 100000, NULL,
      "adapters in transit at once, all data centres together"},
     {"placer", "gone_ms", INI_INT, false, "10000", 100, 3600000, NULL,
-     "an upstream off the list and silent for so long is taken for gone"},
+     "an upstream off the list and silent for this time is presumed gone"},
     {"placer", "keep_policy", INI_CHOICE, false, "break_even", 0, 0,
      "break_even|fixed|lru", "when an unused replica is released"},
     {"placer", "keep_min_ms", INI_INT, false, "2000", 0, 3600000, NULL,
@@ -49,10 +50,10 @@
     {"placer", "fixed_keep_ms", INI_INT, false, "60000", 0, 86400000, NULL,
      "fixed: time an unused replica stays"},
     {"placer", "per_replica", INI_INT, false, "64", 1, 100000, NULL,
-     "waiting requests that ask for one replica"},
+     "waiting requests for which one replica is loaded"},
     {NULL, NULL, INI_TEXT, false, NULL, 0, 0, NULL, NULL}};
 
-/* One call to an upstream, and what came of it. */
+/* A call to an upstream, and its result. */
 typedef struct {
     PlOrderKind kind;
     char *upstream;
@@ -85,7 +86,7 @@
     pthread_t threads[ORDER_THREADS + POLL_THREADS];
     pthread_t vm_thread;
     atomic_bool stopping;
-    atomic_uint_fast64_t order_epoch; /* orders of another are not sent */
+    atomic_uint_fast64_t order_epoch; /* only orders of it are sent */
     uint64_t next_full_ms;
     bool log_ok;
     bool draining;
@@ -139,10 +140,10 @@
     j->res.body = g_string_new(NULL);
 }
 
-/* Whether the upstream at J's address lives the life that J is for.  The
-   connection is kept for the order: it belongs to one process, so the order
-   reaches this life or none.  Without it an order of a paused owner could
-   reach a restarted upstream, which has forgotten its fencing number. */
+/* Whether the upstream at J's address still runs the boot that J is for.  The
+   order is then sent over the same connection, which ends with that process:
+   so it reaches this boot or none.  Otherwise an order of a paused owner could
+   reach a restarted upstream, which has lost its fencing number. */
 static bool
 check_boot(HcClient *http, const Job *j)
 {
@@ -188,15 +189,15 @@
                      .body_len = body ? strlen(body) : 0,
                      .connect_ms = ORDER_CONNECT_MS,
                      .total_ms = poll ? POLL_TOTAL_MS : ORDER_TOTAL_MS,
-                     /* An order is never sent twice by the library. */
+                     /* The HTTP library must not repeat an order. */
                      .fresh = j->kind == PL_FENCE,
                      .pair_second = bound};
     hc_call(http, &req, &j->res);
     free(body);
 }
 
-/* Best effort: the process may be paused between this check and the send.
-   That a late order breaks no ceiling rests on the records, not on this. */
+/* Best effort: the process may be paused between this check and the send.  The
+   records, not this check, ensure that a late order exceeds no ceiling. */
 static bool
 may_send(Placer *p, const Job *j)
 {
@@ -306,7 +307,7 @@
 
 /* ---- answers of upstreams ----------------------------------------------- */
 
-/* A parsed report; the JSON document owns the text. */
+/* A parsed report; its strings belong to the JSON document. */
 typedef struct {
     PlReport report;
     GArray *residents;
@@ -399,7 +400,8 @@
         return strcmp(get_text(doc, "error"), "fence") == 0 ? PL_STALE
                                                             : PL_BUSY;
     }
-    /* An answer of 4xx was made by the upstream after it took the order. */
+    /* 4xx: the upstream itself refused the order.  Other errors leave open
+       whether it was carried out. */
     return j->res.status >= 400 && j->res.status < 500 ? PL_BUSY : PL_UNKNOWN;
 }
 
@@ -460,14 +462,15 @@
     }
     Ring *ring = o->kind == PL_POLL ? p->polls : p->orders;
     if (!ring_push(ring, j)) {
-        /* Answered as not sent, through the ring and never from within the
-           core, which is in the middle of a decision. */
+        /* Report it as not sent by an event, as the core must not be called
+           back from within a decision. */
         drop_job(j);
         PlacerEvent *e = g_new0(PlacerEvent, 1);
         e->kind = PEV_JOB;
         e->job = j;
         if (!node_post(p->node, e)) {
-            bg_log(BG_FAULT, "placer", "An order was lost: rings are full.");
+            bg_log(BG_FAULT, "placer",
+                   "An order was lost: its ring and the event ring are full.");
             g_free(e);
             free_job(j);
         }
@@ -529,8 +532,8 @@
     return strcmp(word, "lru") == 0 ? KEEP_LRU : KEEP_BREAK_EVEN;
 }
 
-/* Equal standing shares: data centres that cannot hear each other still
-   keep the sum within the store's limits. */
+/* Each data centre has an equal fixed share, so that all together keep to the
+   store's limits even when they cannot reach each other. */
 static void
 set_shares(PlParams *params, const IniFile *f)
 {
@@ -654,8 +657,9 @@
     pl_on_tick(p->core, now_ms);
     atomic_store(&p->order_epoch, pl_get_order_epoch(p->core));
     send_residency(p, NULL, false);
-    /* A lost difference is made good by the owner's full state; all others
-       repeating what little they know would be most of the traffic. */
+    /* A lost delta is corrected by the owner's next snapshot.  Placers that
+       are not the owner send none: theirs hold little and would be most of the
+       traffic. */
     if (now_ms >= p->next_full_ms && pl_is_owner(p->core)) {
         p->next_full_ms = now_ms + RESIDENCY_FULL_MS;
         send_residency(p, NULL, true);
