--- a/tests/script_pl.c
+++ b/tests/script_pl.c
@@ -1,28 +1,29 @@
-/* Drives placement cores over one log from a script on standard input, and
-   prints what they append and order.  The same program serves the scripted
-   tests and the fuzzer.  After each command every core's invariants are
-   checked ("BROKEN ..."), then "ok" is printed.
-
-     config                 templates with the models below, to the log
-     limits LOADS GAP_MS    from the store, of placers from now on
-     place NODE             a new placer of dc1, at the log's start
-     kill NODE
+/* Runs placement cores over one log by a script on standard input, and prints
+   the records that they append and the orders that they give.  Used by the
+   scripted tests and by the fuzzer.  After each command the invariants of
+   every core are checked ("BROKEN ..."), then "ok" is printed.
+
+     config                 append the configuration with the models below
+     limits LOADS GAP_MS    limits of loads from the store, for new placers
+     place NODE             start a placer of dc1, which has read no entry
+     kill NODE              end it
      time MS                set the clock
      tick NODE
      vms NODE ID:DEPLOYMENT[:leaving] ...
      log NODE up|down
      read NODE COUNT        deliver the next entries
-     restore NODE           the state of all entries, without the records
-     commit N / drop N      an append takes effect, or never does
-     beat NODE FROM         NODE hears FROM, the owner
+     restore NODE           restore the state of the whole log, without
+                            delivering the records
+     commit N / drop N      append N enters the log, or is lost
+     beat NODE FROM         NODE receives a heartbeat of FROM, the owner
      demand NODE MODEL:WAITING:INFLIGHT[:SLACK_MS[:PRIORITY]] ...
      done NODE N acked|stale|busy|unsent|unknown SEQ
      report NODE N BOOT SEQ CAPACITY MODEL:LOAD:loading|loaded:MB ...
      drain NODE / drained NODE / state NODE / offset
 
-   Upstreams of deployment "fen" fence, those of "ign" do not.  Models:
-   fa, fb on fen and ia, ib on ign, 40 and 60 MB, ceilings 1 and 2; fl is an
-   adapter of 10 MB on fb. */
+   Upstreams of deployment "fen" check fencing numbers, those of "ign" don't.
+   Models: fa, fb on fen and ia, ib on ign, 40 and 60 MB, ceilings 1 and 2; fl
+   is an adapter of 10 MB on fb. */
 #include "bg_base.h"
 #include "fold.h"
 #include "pl.h"
@@ -273,8 +274,8 @@
     }
 }
 
-/* The state of the whole log at once, as a process takes it that fell behind:
-   the core is told of no record. */
+/* Restore the state of the whole log, as a process does that fell too far
+   behind: the core gets no pl_on_record calls for it. */
 static void
 run_restore(Script *s, Node *n)
 {
