--- a/src/pl.h
+++ b/src/pl.h
@@ -40,8 +40,7 @@
     KeepPolicy keep_policy;
     uint32_t keep_min_ms;
     uint32_t keep_fixed_ms;
-    uint32_t
-        per_replica; /* waiting requests for which one replica is loaded */
+    uint32_t per_replica; /* waiting requests for each replica */
     uint64_t seed;
 } PlParams;
 
