--- a/tests/test_fuzz_pl.py
+++ b/tests/test_fuzz_pl.py
@@ -2,13 +2,13 @@
 
 Up to three placers run over one log whose entries reach each of them late.
 They are paused, killed, restarted and cut off from the log; engines restart
-and lose loads; an order that a placer gave up on may still arrive at any
-later time in the life of the engine that holds it, and one that a paused
-placer has not sent yet, even later.  The oracle knows nothing of records:
-it counts memory and replicas on the engines.
+and lose loads.  An order that a placer gave up on may still arrive until the
+engine's process ends, and one that a paused placer has not sent yet, even
+later.  The oracle reads no records: it counts memory and replicas on the
+engines.
 
-An order reaches only the life of the engine that it names, since its worker
-asks for that first and sends over the same connection.
+An order reaches only the boot of the engine that it names, since its worker
+checks the boot first and sends over the same connection.
 """
 
 import os
@@ -29,7 +29,7 @@
 
 
 class Engine:
-    """Holds models; its truth is what the oracle counts."""
+    """Simulated engine; the oracle counts the models that it holds."""
 
     def __init__(self, name):
         self.name = name
@@ -47,7 +47,7 @@
         self.reports = []
 
     def take(self, order):
-        """(end, seq) of an order that arrives now."""
+        """(outcome, seq) of an order that arrives now."""
         if self.checks:
             if order["fence"] < self.fence:
                 return "stale", 0
@@ -93,8 +93,8 @@
         self.frozen = set()   # engines that answer nothing
         self.count = 0
         self.appends = []     # (node, id), not decided
-        self.unsent = []      # orders with a worker
-        self.wire = []        # given up by their placer, still on the way
+        self.unsent = []      # orders held by a worker
+        self.wire = []        # given up by their placer, may still arrive
         self.wants = {}
         self.last = {}
 
@@ -150,7 +150,7 @@
             self.add_node()
         self.wants = {"fb": 1, "ib": 1}
         self.run(6, 0, 250)
-        self.run(4, 0, 1000)  # grants hold a while after a claim
+        self.run(4, 0, 1000)  # until the grants are confirmed
 
     def add_node(self):
         self.count += 1
@@ -160,24 +160,24 @@
         self.send("place " + name)
         self.sync(name, 10000)
 
-    def sync(self, node, most):
+    def sync(self, node, max_entries):
         if self.reaches_log(node):
-            self.send("read %s %d" % (node, most))
+            self.send("read %s %d" % (node, max_entries))
         self.log_state(node)
         self.send("vms %s %s" % (node, " ".join(
             "%s:%s" % e for e in ENGINES.items())))
 
-    def answer(self, order, end, seq=0):
+    def answer(self, order, outcome, seq=0):
         node = order["node"]
         if self.alive.get(node) is False:
-            self.send("done %s %s %s %d" % (node, order["id"], end, seq))
+            self.send("done %s %s %s %d" % (node, order["id"], outcome, seq))
 
     def ask_report(self, order, text):
         if self.alive.get(order["node"]) is False:
             self.send("report %s %s %s" % (order["node"], order["id"], text))
 
     def arrive(self, order, lag=0):
-        """The order reaches its engine and its answer the placer."""
+        """The order reaches its engine, and the answer reaches the placer."""
         engine = self.engines[order["engine"]]
         if engine.name in self.frozen:
             if order["kind"] in ("load", "unload"):
@@ -187,14 +187,14 @@
         if order["kind"] == "poll":
             self.ask_report(order, engine.old_report(lag))
             return
-        end, seq = engine.take(order)
-        if order["kind"] == "fence" and end == "acked":
+        outcome, seq = engine.take(order)
+        if order["kind"] == "fence" and outcome == "acked":
             self.ask_report(order, engine.report())
         else:
-            self.answer(order, end, seq)
+            self.answer(order, outcome, seq)
 
     def is_dropped(self, order):
-        """An order goes over a connection to the life that it is for."""
+        """An order goes over a connection to the boot that it is for."""
         return order["boot"] not in ("-", self.engines[order["engine"]].boot)
 
     def deliver_orders(self, lag=0):
@@ -221,7 +221,7 @@
                 held[1] = "loaded"
 
     def run(self, rounds, lag=0, step=100):
-        """Time passes and everything that can move does."""
+        """Time passes; every running placer reads, ticks and is answered."""
         for _ in range(rounds):
             self.now += step
             self.send("time %d" % self.now)
@@ -272,13 +272,13 @@
 
     @rule(at=st.integers(0, 4))
     def engine_freezes_or_thaws(self, at):
-        """Frozen: it keeps connections, answers nothing, reads nothing."""
+        """A frozen engine keeps connections, but reads and answers nothing."""
         self.frozen ^= {sorted(self.engines)[at]}
 
     @rule(at=st.integers(0, 50))
     def placer_gives_up_order(self, at):
-        """The answer is lost: the order may have arrived, or sits in a
-        connection that its placer has closed."""
+        """The answer is lost: the order may have arrived, or may be in
+        transit on a connection that its placer has closed."""
         todo = [o for o in self.unsent if o["kind"] in ("load", "unload")
                 and self.alive.get(o["node"]) is False]
         if todo:
@@ -298,7 +298,7 @@
 
     @rule(at=st.integers(0, 50))
     def paused_worker_sends(self, at):
-        """A thread of a placer whose core is paused, or is behind, sends."""
+        """A worker sends an order while the placer's core is paused or slow."""
         todo = [o for o in self.unsent if o["kind"] in ("load", "unload")
                 and self.alive.get(o["node"]) is not None]
         if todo:
@@ -313,7 +313,7 @@
 
     @rule()
     def tick_only(self):
-        """Decisions are made whose orders stay with the workers."""
+        """Placers decide, but the orders stay with their workers."""
         self.now += 250
         self.send("time %d" % self.now)
         for node in self.running():
@@ -339,7 +339,7 @@
         node = sorted(self.alive)[at % len(self.alive)]
         del self.alive[node]
         self.send("kill " + node)
-        # Unsent orders die with the process; sent ones are on the way.
+        # Unsent orders end with the process; sent ones may still arrive.
         mine = [o for o in self.unsent if o["node"] == node]
         self.unsent = [o for o in self.unsent if o["node"] != node]
         self.wire += [o for o in mine if o["kind"] in ("load", "unload")
@@ -391,34 +391,34 @@
                 and o["model"] == model]
 
     @rule(model=st.sampled_from(sorted(MODELS)), lag=st.integers(0, 3),
-          fate=st.sampled_from(["unknown", "killed", "killed sent", "paused",
-                                "cut", "drain"]),
+          fault=st.sampled_from(["unknown", "killed", "killed sent", "paused",
+                                 "cut", "drain"]),
           rounds=st.integers(0, 8), freeze=st.booleans())
-    def owner_is_lost_while_it_orders(self, model, lag, fate, rounds, freeze):
-        """A model is wanted; its load order is decided, and then its placer
-        or the order itself gets lost."""
+    def owner_is_lost_while_it_orders(self, model, lag, fault, rounds, freeze):
+        """There is demand for a model and its load order is decided; then its
+        placer fails or the answer is lost."""
         self.wants = {model: 1}
         for _ in range(4):
             if not self.has_order(model):
                 self.tick_only()
         for order in self.has_order(model):
             node = order["node"]
-            if fate == "unknown":
+            if fault == "unknown":
                 self.unsent.remove(order)
                 if not self.is_dropped(order):
                     self.wire.append(order)
                 self.answer(order, "unknown")
             elif node not in self.alive:
                 continue
-            elif fate == "paused":
+            elif fault == "paused":
                 self.alive[node] = True
-            elif fate == "cut":
+            elif fault == "cut":
                 self.cut.add(node)
-            elif fate == "drain":
+            elif fault == "drain":
                 self.send("drain " + node)
             else:
                 self.kill(sorted(self.alive).index(node),
-                          fate == "killed sent")
+                          fault == "killed sent")
             if freeze:
                 self.frozen.add(order["engine"])
         if not self.running():
@@ -428,7 +428,8 @@
     @rule(model=st.sampled_from(["fa", "fb", "fl"]), killed=st.booleans(),
           rounds=st.integers(1, 4), freeze=st.booleans())
     def outage_of_the_log(self, model, killed, rounds, freeze):
-        """A model is wanted while the log is away; the owner may die."""
+        """There is demand for a model while the log is unreachable; the
+        owner may die."""
         self.log_down = True
         self.wants = {model: 1}
         self.run(rounds, 0, 500)
