--- a/tests/bench_place.py
+++ b/tests/bench_place.py
@@ -1,9 +1,9 @@
-"""Measures placement: cold first token against idle accelerator hours.
+"""Measures placement: cold first-token latency against idle accelerator hours.
 
-One second here stands for a minute.  For each user the same trace (seeded)
-runs through one small data centre for each policy, all side by side: real
-routers and placers, stand-ins for engines, store and log.  Then a burst of
-callers at cold models.  Prints markdown tables.
+One second of the run represents a minute.  For each user the same seeded trace
+runs in one small data centre for each policy, all in parallel, with real
+routers and placers and simulated engines, store and log.  Then a burst of
+callers requests cold models.  Prints markdown tables.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 
 from cluster import Cluster
 
-SCALE = 60  # seconds that one second stands for
+SCALE = 60  # seconds that one second of the run represents
 KEYS_SHA = "d87bddde1ad9dfcb4540dc7229e11092c75539707cefe4b92de608ca8d2c0f92"
 CAPACITY_MB = 80000
 USERS = {
@@ -46,7 +46,7 @@
 
 
 def make_trace(user, seconds, seed):
-    """(time, model): sessions of a few requests, long gaps between."""
+    """(time, model) pairs: sessions of a few requests with long gaps."""
     rng = random.Random(seed)
     out = []
     for i in range(USERS[user]["models"]):
@@ -85,7 +85,7 @@
 
 
 class Sampler(threading.Thread):
-    """Integrates memory that is held and not in use, in accelerators."""
+    """Integrates idle memory over time, in accelerator seconds."""
 
     def __init__(self, c):
         super().__init__(daemon=True)
@@ -157,7 +157,7 @@
 
 
 def run_burst(build, user, callers):
-    """All models cold, callers at both routers at once."""
+    """All models are cold; callers use both routers at once."""
     c = make_cluster(build, user, "lru", 1.0)
     u = USERS[user]
     models = min(u["models"], u["engines"] * 2)
--- a/tests/placement.py
+++ b/tests/placement.py
@@ -1,6 +1,6 @@
-"""What the placement tests share: a template whose models have a ceiling of
-one replica, on engines that check fencing numbers ("fen") and on engines
-that ignore them ("ign"), and ways to look at the engines' truth."""
+"""Shared by the placement tests: a template with models of one or two
+replicas, on engines that check fencing numbers ("fen") and on engines that
+ignore them ("ign"), and helpers that inspect the engines themselves."""
 
 import os
 import signal
@@ -92,7 +92,8 @@
 
 
 def wait_settled(c, owner):
-    """Every upstream may be ordered by OWNER, which knows those that fence."""
+    """Wait until OWNER may send orders to every upstream, and knows which of
+    them fence."""
     def is_so():
         ups = [u for u in c.dump(owner)["state"]["upstreams"]
                if not u["gone"]]
@@ -102,7 +103,8 @@
 
 
 def start(c):
-    """Publish, and wait for an owner whose claim names its upstreams."""
+    """Publish the configuration, and wait for an owner with all upstreams
+    settled."""
     publish(c)
     owner = wait_owner(c)
     wait_settled(c, owner)
@@ -131,7 +133,7 @@
 
 
 class Ask(threading.Thread):
-    """A caller in the background."""
+    """A request in the background."""
 
     def __init__(self, c, router, model, prompt="p"):
         super().__init__(daemon=True)
@@ -150,28 +152,28 @@
 
 
 class Watch(threading.Thread):
-    """Looks at the engines all the time: the most replicas of MODEL that
-    were held at once."""
+    """Polls the engines every 50 ms for the largest number of replicas of
+    MODEL that were held at once."""
 
     def __init__(self, c, model):
         super().__init__(daemon=True)
         self.cluster, self.model = c, model
-        self.most = 0
+        self.max_held = 0
         self.done = threading.Event()
         self.start()
 
     def run(self):
         while not self.done.wait(0.05):
             try:
-                self.most = max(self.most,
-                                len(holders(self.cluster, self.model)))
+                self.max_held = max(self.max_held, len(
+                    holders(self.cluster, self.model)))
             except OSError:
                 pass
 
     def stop(self):
         self.done.set()
         self.join()
-        return self.most
+        return self.max_held
 
 
 def stop_process(c, name):
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop (SIGTERM) of a router cuts no request."""
+"""A planned stop (SIGTERM) of a router aborts no request."""
 
 import http.client
 import json
@@ -40,10 +40,10 @@
 
 
 def test_stop_cuts_nothing(cluster):
-    """SIGTERM comes while streams run, requests wait for a cold model and a
-    caller holds an idle connection.  The health check fails first, while
-    the old work goes on; new work is refused as not run, on new and old
-    connections; what was taken in ends whole; then the process exits 0."""
+    """SIGTERM arrives while streams run, requests wait for a cold model and a
+    caller holds an idle connection.  The health check fails at once, while
+    accepted requests continue; new requests are refused as not run, on new
+    and old connections; accepted ones complete; then the process exits 0."""
     idle = http.client.HTTPConnection("127.0.0.1", cluster.port(ROUTER), 20)
     assert send(idle)[0].status == 200
     for e in ENGINES:
@@ -75,8 +75,8 @@
 
 
 def test_idle_connections_do_not_hold_the_stop(cluster):
-    """Callers keep idle connections open for as long as they like; the
-    router ends them and is gone within a few seconds."""
+    """Callers may keep idle connections open for any time; the router closes
+    them and exits within a few seconds."""
     idle = [http.client.HTTPConnection("127.0.0.1", cluster.port(ROUTER), 20)
             for _ in range(8)]
     for conn in idle:
@@ -87,8 +87,8 @@
 
 
 def test_callers_during_a_stop_are_never_cut(cluster):
-    """The balancer sends on until it has seen the health check fail.  Each
-    call in that time is answered or refused; none is reset."""
+    """The load balancer sends requests until it sees the health check fail.
+    Each request in that time is answered or refused; none is reset."""
     seen = []
 
     def ask_until_refused(i):
@@ -109,9 +109,9 @@
 
 
 def test_late_caller_is_refused_not_reset(build):
-    """The balancer's check comes once a second.  A caller that it sends in
-    between, when all work is done already, still finds somebody who refuses
-    it as not run."""
+    """The load balancer checks health once a second.  A request that it sends
+    between two checks, when all other requests are done, is still refused as
+    not run."""
     settings = {"router": {"node": {"drain_notice_ms": 2500}}}
     with Cluster(build, centres=("dc1",), vms_per_centre=1,
                  settings=settings) as c:
--- a/tests/test_outage_place.py
+++ b/tests/test_outage_place.py
@@ -1,4 +1,4 @@
-"""The log is away: what the owner may do alone, and what is left of it."""
+"""Placement while the log is unreachable, and recovery from it afterwards."""
 
 import time
 
@@ -12,19 +12,19 @@
 
 
 def wait_grant(c, owner):
-    """Long enough for the owner to be sure of its claim everywhere."""
+    """Wait until the grant covers all engines that fence, and is confirmed."""
     def holds():
         state = c.dump(owner)["state"]
         fenced = [u for u in state["upstreams"] if u["fenced"]]
         return state["grant"] == len(fenced) == 2 and all(
             u["confirmed"] for u in fenced)
-    wait_until(holds, 20, "the grant holds everywhere")
+    wait_until(holds, 20, "the grant confirmed on all engines")
 
 
 def cut_log(c, owner):
     c.set_faults("log", down=True)
     wait_until(lambda: not c.dump(owner)["log_reachable"], 10,
-               "the owner misses the log")
+               "the owner notices the outage")
 
 
 def wait_recorded(c, model):
@@ -36,11 +36,11 @@
 
 
 def test_owner_goes_on_within_its_grant(build):
-    """The log is away for longer than the lease.  Models on engines that
-    fence are still loaded, each on the one engine that the owner's grant
-    names; models on engines that ignore numbers are refused at once, with
-    true words.  Nobody claims.  When the log is back the loads are
-    recorded, and no replica was ever more than the ceiling."""
+    """The log is unreachable for longer than the lease.  Models on engines
+    that fence are still loaded, each on the one engine that the owner's grant
+    names; requests for models on engines that ignore fencing numbers are
+    refused at once as not run.  No placer claims.  When the log is back, the
+    loads are recorded; no model ever exceeded its ceiling."""
     with make_cluster(build, vms=2) as c:
         owner = start(c)
         wait_grant(c, owner)
@@ -75,10 +75,10 @@
 @pytest.mark.parametrize("dead", ["owner", "every process"])
 def test_owner_dies_in_the_outage(build, dead):
     """The owner loads a model under its grant and is killed before the log
-    is back; or all processes of the system are.  The log knows nothing of
+    is back; or all processes of the system are.  The log has no record of
     the replica.  The successor fences the engine that the grant names, finds
     the replica there and records it; callers get it without a second load,
-    though the model is wanted at every router from the first moment."""
+    though all routers report demand for the model from the beginning."""
     with make_cluster(build, vms=2) as c:
         owner = start(c)
         wait_grant(c, owner)
@@ -107,10 +107,11 @@
 
 
 def test_possible_replica_counts_while_its_engine_is_silent(build):
-    """As before, but the engine that holds the unrecorded replica is cut off
-    when the log comes back.  The successor cannot know whether the grant was
-    used.  It counts a possible replica there: a model whose ceiling is one
-    is refused, not loaded a second time, until that engine answers."""
+    """As before, but the engine that holds the unrecorded replica is
+    unreachable when the log comes back.  The successor cannot know whether
+    the grant was used, and counts a possible replica there: requests for a
+    model whose ceiling is one are refused, and it is not loaded a second
+    time, until that engine answers."""
     c = make_cluster(build, vms=2)
     for e in c.engines:
         c.add_proxy(e["id"])
@@ -123,7 +124,7 @@
         there = holders(c, "fen-one")[0]
         c.procs[owner].kill()
         c.set_proxy(there, cut=True)
-        # A router that knows nothing of the replica wants the model anew.
+        # A restarted router has no record of the replica and reports demand.
         c.procs["dc1-vm2-router"].kill()
         c.set_faults("log", down=False)
         wait_owner(c, owner)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,5 @@
-"""Who may order: owners that die, pause, hang on one side, or stop."""
+"""Ownership of a data centre: owners that die, are paused, lose the log or
+their peers, or stop."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -14,7 +15,7 @@
 
 
 def hold_load_order(c, owner, kind, model):
-    """The owner's load order is held on its way for HELD_MS."""
+    """Delay the owner's load order in a proxy for HELD_MS."""
     for name in engine_names(c, kind):
         c.set_proxy(name, hold_text="POST /control/load", hold_ms=HELD_MS)
     ask = Ask(c, "dc1-vm1-router", model)
@@ -22,7 +23,7 @@
     def is_out():
         return any(x["model"] == model and x["order_out"]
                    for x in c.dump(owner)["state"]["loads"])
-    wait_until(is_out, 10, "load order on its way")
+    wait_until(is_out, 10, "load order in transit")
     time.sleep(0.2)  # the bytes are in the proxy
     for name in engine_names(c, kind):
         c.set_proxy(name, hold_text="")
@@ -39,18 +40,18 @@
 @pytest.mark.parametrize("fault", ["killed", "paused"])
 @pytest.mark.parametrize("kind", ["fen", "ign"])
 def test_late_order_of_former_owner(build, kind, fault):
-    """The owner orders a load; the order is stuck on the way.  The owner
-    dies (or is paused past its lease and resumed), another placer takes
-    over and the caller's model is wanted still.  Seconds later the stuck
-    order arrives.  An engine that checks fencing numbers refuses it.  One
-    that ignores them takes it, so the successor must have counted it all
-    along: the model has one replica at every moment."""
+    """A load order is delayed in transit.  Its owner dies (or is paused past
+    its lease and resumed), and another placer succeeds it while requests for
+    the model still wait.  Seconds later the delayed order arrives.  An engine
+    that checks fencing numbers refuses it.  One that ignores them accepts it,
+    so the successor must have counted it from the beginning: the model never
+    has more than one replica."""
     model = kind + "-one"
     with make_held_cluster(build, kind) as c:
         owner = start(c)
         watch = Watch(c, model)
         ask = hold_load_order(c, owner, kind, model)
-        # The other engine is the better place from now on.
+        # From now on the other engine scores higher.
         held = [x["upstream"] for x in c.dump(owner)["state"]["loads"]][0]
         for name in engine_names(c, kind):
             if name != held:
@@ -68,13 +69,13 @@
                        and c.dump(owner)["state"]["closing"] == 0, 15,
                        "former owner has quiesced")
         wait_until(lambda: time.monotonic() - began > HELD_MS / 1000 + 0.7,
-                   15, "the stuck order")
+                   15, "the delayed order")
         stale = sum(c.audit(n)["stale_orders"]
                     for n in engine_names(c, kind))
         late = sum(o[:2] == ["load", model]
                    for n in engine_names(c, kind)
                    for o in c.audit(n)["orders"])
-        assert stale + late == 2, "the stuck order never arrived"
+        assert stale + late == 2, "the delayed order never arrived"
         assert watch.stop() == 1
         assert (stale >= 1) == (kind == "fen")
         assert len(holders(c, model)) == 1
@@ -100,10 +101,10 @@
 
 
 def test_owner_without_log_is_succeeded(build):
-    """The owner hears its peers but not the log.  It goes on under its
-    grant; the other placer, which has the log, claims after the lease.
-    For a while both hold themselves for the owner and both hear the
-    callers' wants; each model still has one replica."""
+    """The owner reaches its peers but not the log.  It continues under its
+    grant; the other placer, which reaches the log, claims after the lease.
+    For a while both act as the owner and both receive the routers' demand;
+    each model still has one replica."""
     with make_cut_cluster(build) as c:
         owner = start(c)
         watches = [Watch(c, m) for m in ("fen-one", "ign-one")]
@@ -127,10 +128,10 @@
 
 
 def test_owner_without_peers_is_succeeded_once(build):
-    """The owner reads the log but no peer hears it.  The other placer
-    claims; the former owner reads that claim and steps down.  It cannot
-    hear its successor either, and would take the data centre back at every
-    lease, each time with every upstream fenced anew."""
+    """The owner reads the log but is not linked to its peers.  The other
+    placer claims; the former owner reads that claim and steps down.  As it
+    gets no heartbeats of its successor, it would take the data centre back at
+    every lease, and every upstream would be fenced again each time."""
     c = make_cluster(build)
     first = c.placers("dc1")[0]
     c.add_proxy(first + "-peer")
@@ -154,16 +155,16 @@
 
 @pytest.mark.parametrize("kind", ["fen", "ign"])
 def test_stopping_owner_hands_over(build, kind):
-    """SIGTERM reaches the owner in the middle of a load.  With a lease of
-    a minute only a hand-over lets the other placer go on in time.  The load
-    is neither cut nor done twice, and its caller is answered."""
+    """SIGTERM reaches the owner during a load.  As the lease is a minute, the
+    other placer can only take over in time by a hand-over.  The load is
+    neither aborted nor repeated, and its caller is answered."""
     c = make_cluster(build, settings={"lease_ms": 60000})
     with c:
         owner = start(c)
         for name in engine_names(c, kind):
             c.set_faults(name, stall_loads=True)
         ask = Ask(c, "dc1-vm1-router", kind + "-one")
-        wait_until(lambda: holders(c, kind + "-one"), 10, "the load begun")
+        wait_until(lambda: holders(c, kind + "-one"), 10, "load started")
         began = time.monotonic()
         assert c.procs[owner].terminate() == 0
         wait_owner(c, owner, 8)
@@ -176,10 +177,10 @@
 
 
 def test_burst_while_the_owner_is_killed(build):
-    """Callers at every router want three cold models at once, and the owner
-    is killed in the middle of it.  The successor finds intents that were
-    never ordered, loads under way and wants that come again.  Everybody is
-    answered, and no model exceeds its ceiling."""
+    """Callers at all routers request three cold models at once, and the owner
+    is killed during the loads.  The successor finds intents without an
+    order, loads in progress, and demand that is reported again.  Every caller
+    is answered, and no model exceeds its ceiling."""
     c = make_cluster(build, vms=3)
     with c:
         owner = start(c)
@@ -200,7 +201,7 @@
                        "first load decided")
             c.procs[owner].kill()
             assert all(r.result() for r in results)
-        most = {m: w.stop() for m, w in watches.items()}
-        assert most["fen-one"] == 1 and most["ign-one"] == 1
-        assert most["fen-two"] <= 2
+        max_held = {m: w.stop() for m, w in watches.items()}
+        assert max_held["fen-one"] == 1 and max_held["ign-one"] == 1
+        assert max_held["fen-two"] <= 2
         check_memory(c)
