--- a/src/pl.c
+++ b/src/pl.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- creation and destruction ------------------------------------------- */
 
 void
 pl_free_load(gpointer p)
@@ -42,7 +42,7 @@
 static void
 free_closing(gpointer p)
 {
-    Closing *k = p;
+    ClosingEpoch *k = p;
     g_ptr_array_free(k->open, TRUE);
     g_free(k);
 }
@@ -54,7 +54,7 @@
     c->params = *params;
     c->params.node = g_strdup(params->node);
     c->params.data_centre = g_strdup(params->data_centre);
-    c->claim_hold_ms = params->lease_ms;
+    c->claim_grace_ms = params->lease_ms;
     c->fold = fold;
     c->out = *out;
     bg_seed_random(&c->rng, params->seed ^
@@ -63,7 +63,8 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_upstream);
     c->models =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_model);
-    c->beats = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    c->owner_heartbeats =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     c->closing = g_ptr_array_new_with_free_func(free_closing);
     return c;
 }
@@ -76,7 +77,7 @@
     }
     g_hash_table_destroy(c->upstreams);
     g_hash_table_destroy(c->models);
-    g_hash_table_destroy(c->beats);
+    g_hash_table_destroy(c->owner_heartbeats);
     g_ptr_array_free(c->closing, TRUE);
     g_free(c->claim_holder);
     g_free((char *)c->params.node);
@@ -120,7 +121,8 @@
     g_hash_table_foreach_remove(c->upstreams, pl_is_forgettable, c);
 }
 
-/* Unknown deployments count as ignoring the numbers: the safe side. */
+/* An unknown deployment counts as not fencing, which is the safe assumption.
+ */
 static void
 note_fencing(Upstream *u, const CfgSet *cfg)
 {
@@ -150,22 +152,22 @@
         u->dirty = true;
     }
     if (g_strcmp0(u->address, vm->address) != 0) {
-        /* An id that is back under another address is a new upstream. */
+        /* An id that returns with another address is a new upstream. */
         g_free(u->address);
         u->address = g_strdup(vm->address);
         u->leaving = false;
         u->dirty = true;
     }
     note_fencing(u, cfg);
-    /* A list that lags may still call a leaver live: leaving is one-way
-       for an id. */
+    /* Leaving is permanent for an id: a list that lags may still show a
+       leaving upstream as live. */
     if ((vm->leaving && !u->leaving) || u->gone) {
         u->dirty = true;
     }
     u->leaving = u->leaving || vm->leaving;
     if (u->gone) {
         u->gone = false;
-        u->settled_epoch = 0; /* fence and report before any order */
+        u->settled_epoch = 0; /* fence it before any order */
     }
 }
 
@@ -194,16 +196,17 @@
     cfg_unref(cfg);
 }
 
-/* An intent took effect that was given up before: it was never ordered. */
+/* Settle an intent that took effect after its load was given up.  No order was
+   sent under it. */
 static void
-drop_orphan(PlCore *c, const Bg__IntentRecord *r)
+settle_orphan(PlCore *c, const Bg__IntentRecord *r)
 {
     pl_append_settle(c, r->upstream, r->model, r->load_id, SETTLE_ABSENT);
     bg_count("placer_orphan_intents_total", 1);
 }
 
 static void
-win_intent(Load *l, uint64_t now_ms)
+on_intent_won(Load *l, uint64_t now_ms)
 {
     l->closed_recorded = false; /* the record opened it for this epoch */
     if (l->phase != LOAD_RECORDING) {
@@ -214,11 +217,11 @@
 }
 
 static void
-lose_intent(const PlCore *c, Load *l, uint64_t now_ms)
+on_intent_lost(const PlCore *c, Load *l, uint64_t now_ms)
 {
     bg_count("placer_intents_lost_total", 1);
     if (pl_find_intent(c, l->at->id, l->model)) {
-        return; /* counts already; step down or the next report decides */
+        return; /* counted already; a step-down or report resolves it */
     }
     if (!l->found && !l->granted) {
         if (l->phase == LOAD_RECORDING) {
@@ -226,10 +229,10 @@
         }
         return;
     }
-    /* It is there, or may be, beyond what was decided: drop it unless what
-       stands against it goes first. */
+    /* The replica exists, or may exist, but the log rejected its intent.  Try
+       again, and unload it if the rejections continue. */
     l->next_try_ms = now_ms + REFUSED_RETRY_MS;
-    if (++l->found_tries >= FOUND_TRIES && !l->order_out) {
+    if (++l->lost_intents >= MAX_LOST_INTENTS && !l->order_out) {
         pl_set_phase(l, LOAD_UNLOADING, now_ms);
     }
 }
@@ -245,13 +248,13 @@
     Load *l = pl_find_load(c, r->upstream, r->model);
     bool same = l && strcmp(l->load_id, r->load_id) == 0;
     if (result == FOLD_APPLIED && same) {
-        win_intent(l, now_ms);
+        on_intent_won(l, now_ms);
     }
     else if (result == FOLD_APPLIED) {
-        drop_orphan(c, r);
+        settle_orphan(c, r);
     }
     else if (same) {
-        lose_intent(c, l, now_ms);
+        on_intent_lost(c, l, now_ms);
     }
 }
 
@@ -300,31 +303,33 @@
 }
 
 void
-pl_on_beat(PlCore *c, uint64_t now_ms, const char *node, bool owner)
+pl_on_heartbeat(PlCore *c, uint64_t now_ms, const char *node, bool owner)
 {
     if (!owner) {
         return;
     }
     uint64_t *beat = g_new(uint64_t, 1);
     *beat = now_ms;
-    g_hash_table_replace(c->beats, g_strdup(node), beat);
+    g_hash_table_replace(c->owner_heartbeats, g_strdup(node), beat);
 }
 
-/* Whether the standing grant covers L where it is. */
+/* Whether the standing grant allows L on its upstream. */
 static bool
 is_covered(const PlCore *c, const CfgSet *cfg, const Load *l)
 {
     const FoldGrant *g = pl_find_own_grant(c);
     const CfgModel *m = cfg_find_model(cfg, l->model);
     const char *id =
-        g && m ? pl_pick_grant(g, m->upstreams, pl_get_grant_key(m)) : NULL;
+        g && m ? pl_pick_grant_upstream(g, m->upstreams, pl_get_grant_key(m))
+               : NULL;
     return id && l->at->fenced && l->at->confirmed &&
            pl_is_settled(c, l->at) && strcmp(id, l->at->id) == 0;
 }
 
-/* An intent that waits for a log that went away blocks its model.  Under the
-   grant the load goes on.  Any other is given up: nothing was ordered under
-   it, and should it take effect later it is settled then. */
+/* The log became unreachable: a load whose intent is pending would block its
+   model.  If the grant covers it, it is ordered under the grant.  Otherwise it
+   is given up: no order was sent for it, and if its intent takes effect later,
+   settle_orphan settles it. */
 static void
 give_up_recording(PlCore *c)
 {
@@ -347,9 +352,9 @@
     cfg_unref(cfg);
 }
 
-/* A grant holds on a life of an upstream that was fenced while the claim
-   was in force.  Only a log read that began after the fence proves that, so
-   one that ends a read's longest time after it. */
+/* The grant is valid on a boot of an upstream that was fenced while the claim
+   was in force.  Only a log read that began after the fence proves that: one
+   that ends more than the longest read time after it. */
 static void
 confirm_grants(PlCore *c, uint64_t now_ms)
 {
@@ -369,7 +374,7 @@
 {
     c->now_ms = now_ms;
     if (reachable != c->log_reachable) {
-        c->log_turned_ms = now_ms;
+        c->log_changed_ms = now_ms;
         if (!reachable) {
             give_up_recording(c);
         }
@@ -399,16 +404,16 @@
         c->closing->len == 0 &&
         (!c->owner ||
          fold_is_quiesced(c->fold, c->params.data_centre, c->claim_epoch));
-    /* Without the log there is nothing to hand over with; the successor
-       then counts what is open. */
+    /* Without the log no quiesce record can be appended; the successor then
+       counts the open orders. */
     return handed_over ||
            (!c->log_reachable && c->now_ms - c->drain_ms > DRAIN_LOG_WAIT_MS);
 }
 
 /* ---- state -------------------------------------------------------------- */
 
-/* Only what this owner counts is told to routers, and nothing that is about
-   to be dropped. */
+/* Publish only residents that this owner counts and that are not about to be
+   unloaded. */
 static void
 add_resident(Bg__UpstreamState *s, const Load *l, const Resident *from)
 {
--- a/src/pl_own.c
+++ b/src/pl_own.c
@@ -5,21 +5,24 @@
 
 /* ---- ownership ---------------------------------------------------------- */
 
+/* Whether the claim of NODE must be respected: its heartbeats are recent, or
+   too little time has passed to tell since the claim was first seen or the
+   log's reachability changed. */
 static bool
-is_heard(const PlCore *c, const char *node, uint64_t now_ms)
+is_claim_respected(const PlCore *c, const char *node, uint64_t now_ms)
 {
-    const uint64_t *beat = g_hash_table_lookup(c->beats, node);
-    uint64_t since_ms = MAX(c->claim_seen_ms, c->log_turned_ms);
-    if (now_ms - since_ms < c->claim_hold_ms) {
+    const uint64_t *beat = g_hash_table_lookup(c->owner_heartbeats, node);
+    uint64_t since_ms = MAX(c->claim_seen_ms, c->log_changed_ms);
+    if (now_ms - since_ms < c->claim_grace_ms) {
         return true;
     }
     return beat && now_ms - *beat < c->params.lease_ms;
 }
 
-/* Claim the data centre when nobody holds it, its holder has handed over or
-   fell silent.  Silence only starts the race; the log decides it, and the
-   fencing number and the recorded intents keep a holder that was merely
-   paused harmless. */
+/* Claim the data centre if it has no claim, or if the holder has handed over
+   or has not been heard from within the lease.  Several placers may claim at
+   once: the log decides.  A holder that was only paused can do no harm, since
+   its orders carry lower fencing numbers and its intents are recorded. */
 void
 pl_consider_claim(PlCore *c, uint64_t now_ms)
 {
@@ -32,7 +35,8 @@
     bool handed_over =
         claim &&
         fold_is_quiesced(c->fold, c->params.data_centre, claim->epoch);
-    if (claim && !handed_over && is_heard(c, claim->holder, now_ms)) {
+    if (claim && !handed_over &&
+        is_claim_respected(c, claim->holder, now_ms)) {
         return;
     }
     c->claim_tried_ms = now_ms;
@@ -50,8 +54,8 @@
     }
 }
 
-/* Take up an intent of the log, whoever recorded it.  The fate of its
-   orders is unknown; reports settle it, see take_absent. */
+/* Take over an intent from the log, whoever recorded it.  The outcome of its
+   orders is unknown; reports resolve it, see pl_take_absent. */
 static void
 adopt_intent(void *ctx, const FoldIntent *in)
 {
@@ -89,8 +93,8 @@
            c->params.data_centre, (unsigned long long)epoch);
 }
 
-/* Orders of unknown fate on upstreams that do not fence: they may arrive
-   at any later time. */
+/* Load orders of unknown outcome on upstreams that do not fence: they may
+   arrive at any later time. */
 static GPtrArray *
 list_open_orders(const PlCore *c)
 {
@@ -106,23 +110,23 @@
     return open;
 }
 
-/* OPEN is taken over. */
+/* Takes ownership of OPEN. */
 static void
 add_closing(PlCore *c, uint64_t epoch, uint32_t orders_out, GPtrArray *open)
 {
-    Closing *k = g_new0(Closing, 1);
+    ClosingEpoch *k = g_new0(ClosingEpoch, 1);
     k->epoch = epoch;
     k->orders_out = orders_out;
     k->open = open;
     g_ptr_array_add(c->closing, k);
 }
 
-/* Nothing is ordered from here on under the old epoch.  Orders that are
-   with a worker are counted; once each was answered, failed or was dropped
-   unsent, the quiesce record says so and a successor stops counting what
-   they might have loaded.  A worker checks the epoch just before it sends,
-   which makes a late order rare; that no late order breaks a ceiling rests
-   on the count alone. */
+/* No order is given under the old epoch from here on.  Orders that workers
+   still hold are counted.  Once each of them was answered, has failed or was
+   dropped unsent, the quiesce record is appended, and the successor stops
+   counting what they might have loaded.  A worker checks the epoch just before
+   it sends, which makes late orders rare; that none of them exceeds a ceiling
+   is ensured by the count alone. */
 static void
 step_down(PlCore *c)
 {
@@ -133,18 +137,18 @@
     forget_loads(c);
 }
 
-/* Two placers that cannot hear each other would take the data centre from
-   one another at every lease; each change in quick succession doubles the
-   time a claim is respected unheard. */
+/* Two placers that are not linked would take the data centre from each other
+   at every lease.  So each change of holder in quick succession doubles the
+   time for which a claim is respected without heartbeats. */
 static void
-adapt_hold(PlCore *c, bool other, uint64_t now_ms)
+adapt_claim_grace(PlCore *c, bool other, uint64_t now_ms)
 {
     bool quick =
         other && c->caught_up && c->claim_seen_ms &&
-        now_ms - c->claim_seen_ms < 4 * c->claim_hold_ms &&
+        now_ms - c->claim_seen_ms < 4 * c->claim_grace_ms &&
         !fold_is_quiesced(c->fold, c->params.data_centre, c->claim_epoch);
-    c->claim_hold_ms = quick ? MIN(2 * c->claim_hold_ms, CLAIM_HOLD_MAX_MS)
-                             : c->params.lease_ms;
+    c->claim_grace_ms = quick ? MIN(2 * c->claim_grace_ms, CLAIM_GRACE_MAX_MS)
+                              : c->params.lease_ms;
 }
 
 void
@@ -159,7 +163,8 @@
         step_down(c);
     }
     if (!own && c->claim_epoch) {
-        adapt_hold(c, g_strcmp0(c->claim_holder, claim->holder) != 0, now_ms);
+        adapt_claim_grace(c, g_strcmp0(c->claim_holder, claim->holder) != 0,
+                          now_ms);
     }
     g_free(c->claim_holder);
     c->claim_holder = g_strdup(claim->holder);
@@ -177,7 +182,7 @@
 pl_close_epochs(PlCore *c, uint64_t now_ms)
 {
     for (guint i = c->closing->len; i > 0; i--) {
-        Closing *k = c->closing->pdata[i - 1];
+        ClosingEpoch *k = c->closing->pdata[i - 1];
         if (fold_is_quiesced(c->fold, c->params.data_centre, k->epoch)) {
             g_ptr_array_remove_index(c->closing, i - 1);
         }
@@ -202,9 +207,9 @@
     return false;
 }
 
-/* Hand over at a stop: once nothing is under way the quiesce record ends
-   the epoch, and a successor claims without waiting for the lease.  Loads
-   that an upstream has acknowledged go on there. */
+/* Hand over while draining.  Once no order or intent is pending, the quiesce
+   record ends the epoch, and a successor claims without waiting for the lease.
+   Loads that an upstream has acknowledged continue there. */
 void
 pl_hand_over(PlCore *c, uint64_t now_ms)
 {
@@ -219,15 +224,17 @@
 
 /* ---- standing grant ----------------------------------------------------- */
 
-/* While the log is away nobody can record an intent, and nobody can claim.
-   The claim in force names the data centre's fencing upstreams; each model
-   may be loaded on one of them, the first by rendezvous hash, without an
-   intent.  A successor counts a possible replica there until it has fenced
-   that upstream and seen its report.  Upstreams that do not fence have no
-   grant: nothing would end what a former owner might still load there. */
+/* While the log is unreachable no placer can record an intent or claim.  The
+   claim in force carries a grant, which lists the data centre's fencing
+   upstreams.  Under it the owner may load each model without an intent on one
+   of these, the first by rendezvous hash.  A successor counts a possible
+   replica there until it has fenced that upstream and seen its report.
+   Upstreams that do not fence are not in the grant, as nothing could stop a
+   former owner from loading there later. */
 
 const char *
-pl_pick_grant(const FoldGrant *g, const char *deployment, const char *key)
+pl_pick_grant_upstream(const FoldGrant *g, const char *deployment,
+                       const char *key)
 {
     const char *best = NULL;
     uint64_t best_hash = 0;
@@ -244,7 +251,7 @@
     return best;
 }
 
-/* An adapter goes where its base goes. */
+/* The key of the rendezvous hash; an adapter goes where its base goes. */
 const char *
 pl_get_grant_key(const CfgModel *m)
 {
@@ -264,13 +271,14 @@
     return NULL;
 }
 
-/* Whether an earlier owner may hold a replica of M on the upstream that
-   DEPLOYMENT's grant names, unknown to the log. */
+/* Whether M may have been loaded by an earlier owner, without a record, on the
+   upstream that G grants for it in DEPLOYMENT. */
 static bool
 is_grant_pending(const PlCore *c, const FoldGrant *g, const char *deployment,
                  const CfgModel *m)
 {
-    const char *id = pl_pick_grant(g, deployment, pl_get_grant_key(m));
+    const char *id =
+        pl_pick_grant_upstream(g, deployment, pl_get_grant_key(m));
     Upstream *u = id ? g_hash_table_lookup(c->upstreams, id) : NULL;
     if (!id || pl_find_intent(c, id, m->name)) {
         return false;
@@ -300,7 +308,7 @@
     return n;
 }
 
-/* Whether U holds something that no intent counts. */
+/* Whether U holds a replica without an intent. */
 static bool
 has_unrecorded(const PlCore *c, const Upstream *u)
 {
@@ -315,7 +323,8 @@
     return false;
 }
 
-/* Once all that earlier grants cover was fenced and is recorded, say so. */
+/* Once all upstreams of earlier grants are fenced, and all their replicas
+   recorded, append a clear record, which ends those grants. */
 void
 pl_consider_clear(PlCore *c, uint64_t now_ms)
 {
@@ -347,13 +356,14 @@
     }
 }
 
-/* A claim's grant names the upstreams that were known then.  When they have
-   changed for a while the owner claims anew. */
+/* The grant lists the upstreams that were known at the time of the claim.  If
+   they differ for GRANT_REFRESH_MS (or GRANT_FIRST_MS without a grant), the
+   owner claims again. */
 void
 pl_consider_refresh(PlCore *c, uint64_t now_ms)
 {
     const FoldGrant *g = pl_find_own_grant(c);
-    g_autoptr(GPtrArray) list = pl_list_granting(c);
+    g_autoptr(GPtrArray) list = pl_list_grant_upstreams(c);
     bool same = g ? g->upstreams->len == list->len : list->len == 0;
     for (guint i = 0; same && i < list->len; i++) {
         same = strcmp(((Upstream *)list->pdata[i])->id,
@@ -368,7 +378,7 @@
     }
     const GPtrArray *all = fold_get_grants(c->fold, c->params.data_centre);
     if (all && all->len >= FOLD_MAX_GRANTS) {
-        return; /* a claim would have none; wait until some are cleared */
+        return; /* a new claim would get no grant until some are cleared */
     }
     uint32_t wait_ms = g ? GRANT_REFRESH_MS : GRANT_FIRST_MS;
     if (!c->log_reachable || now_ms - c->grant_changed_ms < wait_ms ||
--- a/src/pl_place.c
+++ b/src/pl_place.c
@@ -5,8 +5,8 @@
 
 /* ---- counts ------------------------------------------------------------- */
 
-/* Memory of what U holds, or may come to hold, without a record: loads
-   under the grant and found residents. */
+/* Memory of replicas on U that have no record in the log: loads under the
+   grant, and residents that were found in a report.  EXCEPT is not counted. */
 uint32_t
 pl_count_unrecorded(const PlCore *c, const Upstream *u, const char *except)
 {
@@ -24,7 +24,7 @@
     return mb;
 }
 
-/* Memory that U must be taken to use: what the log counts, and every load
+/* Upper bound of the memory in use on U: what the log counts, and every load
    that is not in the log yet. */
 uint32_t
 pl_count_memory(const PlCore *c, const Upstream *u)
@@ -42,13 +42,14 @@
     return mb;
 }
 
-/* A dead engine that stays on the VM list can't be told from a frozen one:
-   its replicas count on, but nobody can use them, and callers would wait for
-   them until their deadlines.  Another one is decided, under the ceiling. */
+/* A dead engine that is still on the VM list looks the same as a frozen one.
+   Its replicas keep counting against the ceiling.  They don't count as usable,
+   or requests would wait for them until their deadlines: another replica is
+   loaded if the ceiling allows it. */
 static bool
-is_answering(const Upstream *u)
+is_reachable(const Upstream *u)
 {
-    return u->missed_polls < MISSED_POLLS_SILENT;
+    return u->missed_polls < MAX_MISSED_POLLS;
 }
 
 static Replicas
@@ -70,7 +71,7 @@
         n.counted += !pl_find_intent(c, u->id, m->name);
         n.coming += l->phase < LOAD_LOADED && !l->found;
         n.usable += l->phase <= LOAD_LOADED && !u->leaving && !u->gone &&
-                    is_answering(u);
+                    is_reachable(u);
         if (l->phase == LOAD_LINGERING && pl_is_settled(c, u) && !u->gone &&
             !u->leaving && l->memory_mb == m->memory_mb) {
             n.lingering = l;
@@ -80,7 +81,7 @@
 }
 
 typedef struct {
-    uint32_t store; /* loads under way from the weight store */
+    uint32_t store; /* loads in progress from the weight store */
     uint32_t adapters;
 } Transit;
 
@@ -113,21 +114,22 @@
 static bool
 can_take(const PlCore *c, const Upstream *u, const CfgModel *m)
 {
-    return !u->gone && !u->leaving && pl_is_settled(c, u) && is_answering(u) &&
+    return !u->gone && !u->leaving && pl_is_settled(c, u) && is_reachable(u) &&
            strcmp(u->deployment, m->upstreams) == 0 &&
            !g_hash_table_contains(u->loads, m->name) &&
            (!m->base || is_base_loaded(u, m->base));
 }
 
 /* Checkpoint tier: 0 remote, 1 disk, 2 memory.  Reports and cache events
-   come late and with gaps, so this is a hint for the choice only. */
+   are delayed and incomplete, so this is a hint for the choice only. */
 static int
 get_tier(const Upstream *u, const char *model)
 {
     return GPOINTER_TO_INT(g_hash_table_lookup(u->tiers, model));
 }
 
-/* Higher is better: nearest checkpoint first, then free memory. */
+/* Higher is better: by checkpoint tier, then free memory, then few requests
+   in flight. */
 static int64_t
 score_upstream(const PlCore *c, const Upstream *u, const CfgModel *m)
 {
@@ -136,8 +138,8 @@
            (int64_t)MIN(u->inflight, 255);
 }
 
-/* The best upstream for M that has room (or, with ANY_ROOM, could have);
-   NULL when there is none. */
+/* The best upstream for M with enough free memory or, with ANY_ROOM, enough
+   capacity; NULL if there is none. */
 static Upstream *
 choose_upstream(PlCore *c, const CfgModel *m, bool any_room)
 {
@@ -165,7 +167,8 @@
     return best;
 }
 
-/* Unique by the node's name, which is that of one life of one process. */
+/* Unique: the generator is seeded with the node's name, which differs for each
+   run of each process. */
 static void
 make_load_id(PlCore *c, Load *l)
 {
@@ -197,8 +200,8 @@
     return l;
 }
 
-/* A load that still counts is ordered again on the same upstream, under its
-   record; the record opens it for this epoch first. */
+/* Load a lingering replica again on the same upstream, under the record that
+   still counts it.  A new intent first opens that record for this epoch. */
 static void
 restart_load(PlCore *c, Load *l, const CfgModel *m, uint64_t now_ms)
 {
@@ -226,8 +229,8 @@
     gpointer p;
     g_hash_table_iter_init(&it, m->routers);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
-        const RouterWant *w = p;
-        if (now_ms - w->seen_ms > DEMAND_AGE_MS) {
+        const RouterDemand *w = p;
+        if (now_ms - w->seen_ms > DEMAND_MAX_AGE_MS) {
             continue;
         }
         d.waiting += w->waiting;
@@ -240,18 +243,18 @@
     return d;
 }
 
-static RouterWant *
-get_router_want(Model *m, const char *node)
+static RouterDemand *
+get_router_demand(Model *m, const char *node)
 {
-    RouterWant *w = g_hash_table_lookup(m->routers, node);
+    RouterDemand *w = g_hash_table_lookup(m->routers, node);
     if (!w) {
-        w = g_new0(RouterWant, 1);
+        w = g_new0(RouterDemand, 1);
         g_hash_table_insert(m->routers, g_strdup(node), w);
     }
     return w;
 }
 
-static RouterWant *
+static RouterDemand *
 note_use(PlCore *c, const char *model, const char *from, uint64_t now_ms)
 {
     Model *m = pl_get_model(c, model);
@@ -259,7 +262,7 @@
         keep_add_gap(&m->gaps, now_ms - m->last_used_ms);
     }
     m->last_used_ms = now_ms;
-    RouterWant *w = get_router_want(m, from);
+    RouterDemand *w = get_router_demand(m, from);
     w->seen_ms = now_ms;
     return w;
 }
@@ -269,24 +272,24 @@
 {
     GHashTableIter it;
     gpointer p;
-    /* Each message carries all wants of its router: what it leaves out is
-       wanted no more. */
+    /* Each message carries the whole demand of its router: there is none for
+       the models that it omits. */
     g_hash_table_iter_init(&it, c->models);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
-        RouterWant *w = g_hash_table_lookup(((Model *)p)->routers, from);
+        RouterDemand *w = g_hash_table_lookup(((Model *)p)->routers, from);
         if (w) {
             w->waiting = 0;
             w->inflight = 0;
         }
     }
     for (size_t i = 0; i < d->n_wants; i++) {
-        RouterWant *w = note_use(c, d->wants[i]->model, from, now_ms);
+        RouterDemand *w = note_use(c, d->wants[i]->model, from, now_ms);
         w->waiting = d->wants[i]->waiting;
         w->deadline_ms = now_ms + d->wants[i]->slack_ms;
         w->priority = d->wants[i]->priority;
     }
     for (size_t i = 0; i < d->n_usage; i++) {
-        RouterWant *w = note_use(c, d->usage[i]->model, from, now_ms);
+        RouterDemand *w = note_use(c, d->usage[i]->model, from, now_ms);
         w->inflight = d->usage[i]->inflight;
     }
 }
@@ -298,27 +301,27 @@
     Model *model;
     Demand demand;
     int64_t rank; /* lower goes first */
-} Wanted;
+} ModelDemand;
 
-/* Deadline slack first; a step of priority is worth some slack, and a large
-   model a little less.  What was waited counts in full, so that a steady
-   stream of urgent wants cannot starve the others. */
+/* By deadline slack, reduced for priority and increased for model size.  The
+   time that requests have waited is subtracted in full, so that a steady
+   stream of urgent demand cannot starve other models. */
 static int64_t
-rank_wanted(const Wanted *w, uint64_t now_ms)
+rank_model(const ModelDemand *w, uint64_t now_ms)
 {
     uint64_t slack_ms =
         w->demand.deadline_ms > now_ms ? w->demand.deadline_ms - now_ms : 0;
     return (int64_t)MIN(slack_ms, 600000) -
-           (int64_t)w->demand.priority * PRIORITY_WORTH_MS +
+           (int64_t)w->demand.priority * PRIORITY_SLACK_MS +
            w->cfg->memory_mb / MB_PER_SLACK_MS -
-           (int64_t)(now_ms - w->model->wanted_ms);
+           (int64_t)(now_ms - w->model->demand_since_ms);
 }
 
 static int
-compare_wanted(gconstpointer a, gconstpointer b)
+compare_ranks(gconstpointer a, gconstpointer b)
 {
-    const Wanted *x = a;
-    const Wanted *y = b;
+    const ModelDemand *x = a;
+    const ModelDemand *y = b;
     if (x->rank != y->rank) {
         return x->rank < y->rank ? -1 : 1;
     }
@@ -326,25 +329,25 @@
 }
 
 static GArray *
-list_wanted(PlCore *c, const CfgSet *cfg, uint64_t now_ms)
+list_waiting_models(PlCore *c, const CfgSet *cfg, uint64_t now_ms)
 {
-    GArray *list = g_array_new(FALSE, TRUE, sizeof(Wanted));
+    GArray *list = g_array_new(FALSE, TRUE, sizeof(ModelDemand));
     GHashTableIter it;
     gpointer p;
     g_hash_table_iter_init(&it, c->models);
     while (g_hash_table_iter_next(&it, NULL, &p)) {
         Model *m = p;
-        Wanted w = {cfg_find_model(cfg, m->name), m, merge_demand(m, now_ms),
-                    0};
+        ModelDemand w = {cfg_find_model(cfg, m->name), m,
+                         merge_demand(m, now_ms), 0};
         if (!w.cfg || w.demand.waiting == 0) {
-            m->wanted_ms = 0;
+            m->demand_since_ms = 0;
             continue;
         }
-        m->wanted_ms = m->wanted_ms ? m->wanted_ms : now_ms;
-        w.rank = rank_wanted(&w, now_ms);
+        m->demand_since_ms = m->demand_since_ms ? m->demand_since_ms : now_ms;
+        w.rank = rank_model(&w, now_ms);
         g_array_append_val(list, w);
     }
-    g_array_sort(list, compare_wanted);
+    g_array_sort(list, compare_ranks);
     return list;
 }
 
@@ -363,10 +366,11 @@
     return false;
 }
 
-/* A replica that may be dropped: loaded, recorded so, with no request
-   waiting or in flight for its model on any router, and no adapter on it.
-   On an upstream that leaves no request can go to it any more, and the
-   upstream itself refuses while one still runs. */
+/* Whether L may be unloaded: it is loaded and recorded as loaded, no router
+   has requests waiting or in flight for its model, and it is the base of no
+   adapter on that upstream.  On a leaving upstream demand is not considered:
+   routers send no more requests to it, and the upstream refuses the unload
+   while a request is running. */
 static bool
 is_droppable(PlCore *c, const CfgSet *cfg, const Load *l, uint64_t now_ms)
 {
@@ -387,7 +391,7 @@
     return MAX(l->last_used_ms, pl_get_model(c, l->model)->last_used_ms);
 }
 
-/* Routers stop sending to it with the next residency. */
+/* The next published residency omits L, so that routers stop using it. */
 static void
 start_unload(Load *l, uint64_t now_ms)
 {
@@ -410,8 +414,8 @@
     return CLAMP(keep_ms, c->params.keep_min_ms, KEEP_MAX_MS);
 }
 
-/* Share of its keep time that an idle replica has used up: the one that is
-   furthest past it goes first. */
+/* Idle time as a fraction of the keep time; the replica with the highest is
+   evicted first. */
 static double
 get_staleness(PlCore *c, const CfgSet *cfg, const Load *l, uint64_t now_ms)
 {
@@ -421,9 +425,9 @@
     return idle_ms / (double)MAX(MIN(keep_ms, KEEP_MAX_MS), 1);
 }
 
-/* Drop one unused replica on U; true when one is on its way, or will be:
-   one that has not stayed for as long as its load takes is spared, so that
-   two models do not push each other out in turn. */
+/* Evict an unused replica from U.  True if one is being unloaded or will be
+   evictable later: a replica is kept for at least its load time, so that two
+   models do not evict each other in turn. */
 static bool
 evict_one(PlCore *c, const CfgSet *cfg, Upstream *u, uint64_t now_ms)
 {
@@ -454,10 +458,10 @@
     return victim != NULL || young;
 }
 
-/* Routers refuse all that wait for the model, at once. */
+/* Have routers refuse all waiting requests for the model. */
 static void
-refuse_want(PlCore *c, const Wanted *w, uint64_t retry_after_ms,
-            const char *reason, uint64_t now_ms)
+refuse_model(PlCore *c, const ModelDemand *w, uint64_t retry_after_ms,
+             const char *reason, uint64_t now_ms)
 {
     if (now_ms - w->model->refused_ms < ORDER_RETRY_MS) {
         return;
@@ -467,22 +471,24 @@
     c->out.refuse(c->out.ctx, w->cfg->name, retry_after_ms, reason);
 }
 
-/* The log is away: the standing grant only. */
+/* Load under the standing grant while the log is unreachable. */
 static void
-place_granted(PlCore *c, const Wanted *w, const Replicas *n, uint64_t now_ms)
+place_granted(PlCore *c, const ModelDemand *w, const Replicas *n,
+              uint64_t now_ms)
 {
     const FoldGrant *g = pl_find_own_grant(c);
-    const char *id =
-        g ? pl_pick_grant(g, w->cfg->upstreams, pl_get_grant_key(w->cfg))
-          : NULL;
+    const char *id = g ? pl_pick_grant_upstream(g, w->cfg->upstreams,
+                                                pl_get_grant_key(w->cfg))
+                       : NULL;
     Upstream *u = id ? g_hash_table_lookup(c->upstreams, id) : NULL;
     bool fits = u && u->fenced && u->confirmed && can_take(c, u, w->cfg) &&
                 pl_count_memory(c, u) + w->cfg->memory_mb <= u->capacity_mb;
     if (!fits) {
-        /* An adapter's base may be on its way there. */
+        /* The base of an adapter may still be loading there. */
         if (n->usable == 0 && !(w->cfg->base && u && u->fenced)) {
-            refuse_want(c, w, LOG_AWAY_RETRY_AFTER_MS,
-                        "the log is away and the model is not loaded", now_ms);
+            refuse_model(c, w, LOG_UNREACHABLE_RETRY_AFTER_MS,
+                         "the log is away and the model is not loaded",
+                         now_ms);
         }
         return;
     }
@@ -493,12 +499,13 @@
     l->granted = true;
     note_start(c, l, w->cfg, now_ms);
     bg_count("placer_granted_loads_total", 1);
-    bg_log(BG_WARN, "place", "Log away: %s goes on %s under the grant.",
-           w->cfg->name, u->id);
+    bg_log(BG_WARN, "place",
+           "Log unreachable: loading %s on %s under the grant.", w->cfg->name,
+           u->id);
 }
 
-/* This data centre's standing share of the store's rate and of adapters in
-   transit. */
+/* Whether loading M now keeps to this data centre's share of the limits for
+   loads from the store and for adapters. */
 static bool
 has_budget(const PlCore *c, const CfgSet *cfg, const CfgModel *m, int tier,
            uint64_t now_ms)
@@ -516,16 +523,17 @@
 }
 
 static void
-refuse_if_late(PlCore *c, const Wanted *w, uint64_t start_ms, uint64_t now_ms)
+refuse_if_late(PlCore *c, const ModelDemand *w, uint64_t start_ms,
+               uint64_t now_ms)
 {
     if (start_ms + w->cfg->load_ms > w->demand.deadline_ms) {
-        refuse_want(c, w, start_ms + w->cfg->load_ms - now_ms,
-                    "loads of the model fail", now_ms);
+        refuse_model(c, w, start_ms + w->cfg->load_ms - now_ms,
+                     "loads of the model fail", now_ms);
     }
 }
 
 static void
-place_new(PlCore *c, const CfgSet *cfg, Wanted *w, const Replicas *n,
+place_new(PlCore *c, const CfgSet *cfg, ModelDemand *w, const Replicas *n,
           uint64_t now_ms)
 {
     Upstream *u = choose_upstream(c, w->cfg, false);
@@ -538,13 +546,13 @@
     u = choose_upstream(c, w->cfg, true);
     bool coming = u && evict_one(c, cfg, u, now_ms);
     if (!coming && n->usable == 0 && u) {
-        refuse_want(c, w, NO_ROOM_RETRY_AFTER_MS, "no room for the model",
-                    now_ms);
+        refuse_model(c, w, NO_ROOM_RETRY_AFTER_MS, "no room for the model",
+                     now_ms);
     }
 }
 
 static void
-place_wanted(PlCore *c, const CfgSet *cfg, Wanted *w, uint64_t now_ms)
+place_model(PlCore *c, const CfgSet *cfg, ModelDemand *w, uint64_t now_ms)
 {
     Replicas n = count_replicas(c, w->cfg);
     uint32_t asked =
@@ -564,7 +572,7 @@
         }
     }
     else if (n.counted >= w->cfg->replicas) {
-        return; /* the ceiling: what counts is not all usable */
+        return; /* at the ceiling, though not all replicas are usable */
     }
     else if (!c->log_reachable) {
         place_granted(c, w, &n, now_ms);
@@ -574,21 +582,21 @@
     }
 }
 
-/* An adapter needs its base first. */
+/* Place the base of an adapter, which must be loaded first. */
 static void
-want_base(PlCore *c, const CfgSet *cfg, Wanted *w, uint64_t now_ms)
+place_base(PlCore *c, const CfgSet *cfg, ModelDemand *w, uint64_t now_ms)
 {
-    Wanted base = *w;
+    ModelDemand base = *w;
     base.cfg = cfg_find_model(cfg, w->cfg->base);
     base.model = pl_get_model(c, w->cfg->base);
     base.model->last_used_ms = now_ms;
     if (base.cfg) {
-        place_wanted(c, cfg, &base, now_ms);
+        place_model(c, cfg, &base, now_ms);
     }
 }
 
-/* With the log away nothing is released: the memory could not be counted
-   free, and a successor may already use the replica. */
+/* Unload idle replicas.  Not without the log: the memory could not be recorded
+   as free, and a successor may already use the replica. */
 static void
 release_idle(PlCore *c, const CfgSet *cfg, uint64_t now_ms)
 {
@@ -614,10 +622,9 @@
     return m ? m->replicas : 0;
 }
 
-/* Record again what was not seen in the log, order again what was not
-   answered. */
+/* Send or repeat the record or order that L's phase requires. */
 static void
-push_load(PlCore *c, const CfgSet *cfg, Load *l, uint64_t now_ms)
+advance_load(PlCore *c, const CfgSet *cfg, Load *l, uint64_t now_ms)
 {
     Upstream *u = l->at;
     const CfgModel *m = cfg_find_model(cfg, l->model);
@@ -647,7 +654,7 @@
     }
     else if (l->phase == LOAD_LINGERING && u->fenced && l->unknown > 0 &&
              pl_get_fence(c) <= l->order_fence && c->log_reachable) {
-        /* Any record moves the offset on, and with it the fencing number. */
+        /* Any record advances the log's offset, and so the fencing number. */
         l->next_try_ms = now_ms + RECORD_RETRY_MS;
         pl_append_intent(c, l, get_ceiling(m), m && m->base);
     }
@@ -660,28 +667,29 @@
         return;
     }
     CfgSet *cfg = fold_get_config(c->fold);
-    g_autoptr(GArray) wanted = list_wanted(c, cfg, now_ms);
+    g_autoptr(GArray) wanted = list_waiting_models(c, cfg, now_ms);
     for (guint i = 0; i < wanted->len; i++) {
-        Wanted *w = &g_array_index(wanted, Wanted, i);
+        ModelDemand *w = &g_array_index(wanted, ModelDemand, i);
         if (w->cfg->base) {
-            want_base(c, cfg, w, now_ms);
+            place_base(c, cfg, w, now_ms);
         }
-        place_wanted(c, cfg, w, now_ms);
+        place_model(c, cfg, w, now_ms);
     }
     release_idle(c, cfg, now_ms);
     g_autoptr(GPtrArray) list = pl_list_loads(c);
     for (guint i = 0; i < list->len; i++) {
-        push_load(c, cfg, list->pdata[i], now_ms);
+        advance_load(c, cfg, list->pdata[i], now_ms);
     }
     cfg_unref(cfg);
 }
 
-/* ---- upstreams that are gone -------------------------------------------- */
+/* ---- upstreams that no longer exist ------------------------------------- */
 
-/* The list alone proves nothing: it lags, and a frozen VM may be missing
-   from it.  Off the list and silent for gone_ms together is taken as the
-   end of the VM.  Should it come back, it is fenced and its report counted
-   before anything else is placed there. */
+/* Settle the loads of an upstream whose VM is presumed not to exist.  Absence
+   from the VM list alone is no proof: the list lags, and a frozen VM may be
+   missing from it.  Off the list and silent for gone_ms is taken as the end of
+   the VM.  If it returns, it is fenced and its report counted before anything
+   is placed there. */
 void
 pl_settle_lost(PlCore *c, Upstream *u, uint64_t now_ms)
 {
