--- a/src/gw.c
+++ b/src/gw.c
@@ -161,9 +161,9 @@
     GQueue early;        /* HtExchange: before the first configuration */
     GQueue reqs;         /* Req */
     GHashTable *arrived; /* model or "model/adapter" -> count */
-    GHashTable *hurried; /* of these: too late if loaded from disk */
-    GHashTable *refused; /* model -> count: the queue was too long */
-    GHashTable *began;   /* upstream -> count of begun answers */
+    GHashTable *tight_deadline; /* of these: too late if loaded from disk */
+    GHashTable *refused;        /* model -> count: the queue was too long */
+    GHashTable *began;          /* upstream -> count of begun answers */
     GHashTable *wait_estimates; /* model -> WaitEstimate */
     GHashTable *deaths;         /* digest -> Deaths */
     Hist *answer_us; /* from a request's arrival to the end of its answer */
@@ -1083,7 +1083,7 @@
     const DepModel *m =
         s ? g_hash_table_lookup(s->models, q->query.model) : NULL;
     if (m && q->route->objective_ms < (m->disk_ms ? m->disk_ms : m->load_ms)) {
-        add_count(q->gw->hurried, key);
+        add_count(q->gw->tight_deadline, key);
     }
 }
 
@@ -1582,14 +1582,15 @@
         }
     }
     collect_counts(&c, g->arrived, offsetof(DmModelDemand, arrived));
-    collect_counts(&c, g->hurried, offsetof(DmModelDemand, hurried));
+    collect_counts(&c, g->tight_deadline,
+                   offsetof(DmModelDemand, tight_deadline));
     collect_counts(&c, g->refused, offsetof(DmModelDemand, refused));
     GHashTableIter it;
     gpointer k;
     gpointer v;
     g_hash_table_iter_init(&it, g->began);
     while (g_hash_table_iter_next(&it, &k, &v)) {
-        dm_add_began(c.demand, k, GPOINTER_TO_UINT(v));
+        dm_add_answer_starts(c.demand, k, GPOINTER_TO_UINT(v));
     }
     g_hash_table_remove_all(g->began);
     g_hash_table_destroy(c.wants);
@@ -1655,7 +1656,8 @@
     g_queue_init(&g->early);
     g_queue_init(&g->reqs);
     g->arrived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g->hurried = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    g->tight_deadline =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g->refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g->began = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g->wait_estimates =
@@ -1678,7 +1680,7 @@
     g_queue_clear(&g->early);
     dep_unref_config(g->config);
     g_hash_table_destroy(g->arrived);
-    g_hash_table_destroy(g->hurried);
+    g_hash_table_destroy(g->tight_deadline);
     g_hash_table_destroy(g->refused);
     g_hash_table_destroy(g->began);
     g_hash_table_destroy(g->wait_estimates);
--- a/tests/unit_gateway.c
+++ b/tests/unit_gateway.c
@@ -1437,7 +1437,7 @@
             DmDemand *d = dm_create_demand(true);
             add_uses(d, "u0", 10, 4);
             if (g == 0) {
-                dm_add_began(d, "u0", 1);
+                dm_add_answer_starts(d, "u0", 1);
             }
             take_demand(&s, g ? "g1" : "g0", d);
         }
@@ -1844,7 +1844,7 @@
     CU_ASSERT_EQUAL(count_cut_off(&s, s.engines[0].state->data_centre), 0);
     CU_ASSERT_EQUAL(count_cut_off(&s, "elsewhere"), ENGINES - 1);
     DmDemand *d = dm_create_demand(true);
-    dm_add_began(d, "u0", 1);
+    dm_add_answer_starts(d, "u0", 1);
     take_demand(&s, "g", d);
     CU_ASSERT_EQUAL(count_cut_off(&s, s.engines[0].state->data_centre), 1);
     stop_site(&s);
