--- a/src/gn_demand.c
+++ b/src/gn_demand.c
@@ -53,7 +53,7 @@
         w->running = x->running;
         w->arrived = x->arrived;
         w->refused = x->refused;
-        w->hurried = x->hurried;
+        w->tight_deadline = x->hurried;
     }
     for (size_t i = 0; i < d->n_uses; i++) {
         const Gwp__Use *x = d->uses[i];
@@ -64,7 +64,8 @@
         u->slow = x->slow;
     }
     for (size_t i = 0; i < d->n_began; i++) {
-        dm_add_began(demand, d->began[i]->upstream, d->began[i]->count);
+        dm_add_answer_starts(demand, d->began[i]->upstream,
+                             d->began[i]->count);
     }
     return demand;
 }
@@ -214,7 +215,7 @@
         w->running = x->running;
         w->arrived = x->arrived;
         w->refused = x->refused;
-        w->hurried = x->hurried;
+        w->hurried = x->tight_deadline;
         l->want_refs[i] = w;
     }
 }
@@ -244,7 +245,7 @@
     l->began = g_new0(Gwp__Began, began->len + 1);
     l->began_refs = g_new0(Gwp__Began *, began->len + 1);
     for (guint i = 0; i < began->len; i++) {
-        const DmBegan *x = began->pdata[i];
+        const DmAnswerStarts *x = began->pdata[i];
         Gwp__Began *b = &l->began[i];
         gwp__began__init(b);
         b->upstream = x->upstream;
@@ -290,17 +291,17 @@
 send_demand_up(Gateway *g, const DmDemand *demand)
 {
     DemandLists lists;
-    list_wants(&lists, demand->wants);
+    list_wants(&lists, demand->model_demands);
     list_uses(&lists, demand->uses);
-    list_began(&lists, demand->began);
+    list_began(&lists, demand->answer_starts);
     list_spent(&lists, g->limits);
     Gwp__Demand d = GWP__DEMAND__INIT;
     d.whole = demand->whole;
-    d.n_wants = demand->wants->len;
+    d.n_wants = demand->model_demands->len;
     d.wants = lists.want_refs;
     d.n_uses = demand->uses->len;
     d.uses = lists.use_refs;
-    d.n_began = demand->began->len;
+    d.n_began = demand->answer_starts->len;
     d.began = lists.began_refs;
     d.n_spent = lists.spent->len;
     d.spent = lists.spent_refs;
--- a/src/gn_relay.c
+++ b/src/gn_relay.c
@@ -468,7 +468,8 @@
         RlPeer row = {.vm = lk_get_vm(peer),
                       .data_centre = p->data_centre,
                       .address = p->address,
-                      .shunned = recent ? p->unreachable_relay : NULL,
+                      .unreachable_relay =
+                          recent ? p->unreachable_relay : NULL,
                       .fitness = p->fitness,
                       .members = count_expected(p),
                       .leaving = p->leaving};
