--- a/src/dm.c
+++ b/src/dm.c
@@ -27,9 +27,9 @@
 }
 
 static void
-free_began(void *p)
+free_answer_starts(void *p)
 {
-    g_free(((DmBegan *)p)->upstream);
+    g_free(((DmAnswerStarts *)p)->upstream);
     g_free(p);
 }
 
@@ -38,18 +38,18 @@
 {
     DmDemand *d = g_new0(DmDemand, 1);
     d->whole = whole;
-    d->wants = g_ptr_array_new_with_free_func(free_model_demand);
+    d->model_demands = g_ptr_array_new_with_free_func(free_model_demand);
     d->uses = g_ptr_array_new_with_free_func(free_use);
-    d->began = g_ptr_array_new_with_free_func(free_began);
+    d->answer_starts = g_ptr_array_new_with_free_func(free_answer_starts);
     return d;
 }
 
 void
 dm_destroy_demand(DmDemand *d)
 {
-    g_ptr_array_free(d->wants, TRUE);
+    g_ptr_array_free(d->model_demands, TRUE);
     g_ptr_array_free(d->uses, TRUE);
-    g_ptr_array_free(d->began, TRUE);
+    g_ptr_array_free(d->answer_starts, TRUE);
     g_free(d);
 }
 
@@ -59,7 +59,7 @@
     DmModelDemand *w = g_new0(DmModelDemand, 1);
     w->model = g_strdup(model);
     w->adapter = g_strdup(adapter);
-    g_ptr_array_add(d->wants, w);
+    g_ptr_array_add(d->model_demands, w);
     return w;
 }
 
@@ -76,21 +76,21 @@
 }
 
 void
-dm_add_began(DmDemand *d, const char *upstream, uint32_t count)
+dm_add_answer_starts(DmDemand *d, const char *upstream, uint32_t count)
 {
-    DmBegan *b = g_new0(DmBegan, 1);
+    DmAnswerStarts *b = g_new0(DmAnswerStarts, 1);
     b->upstream = g_strdup(upstream);
     b->count = count;
-    g_ptr_array_add(d->began, b);
+    g_ptr_array_add(d->answer_starts, b);
 }
 
 /* ---- the aggregate ------------------------------------------------------ */
 
-typedef enum { SUM_MODEL, SUM_USE, SUM_BEGAN } SumKind;
+typedef enum { SUM_MODEL, SUM_USE, SUM_ANSWER_STARTS } SumKind;
 
 /* Waiting and running of a model; or running, queued and slow of a use. */
 #define LEVELS 3
-#define COUNTS 3 /* arrived, hurried and refused; or began */
+#define COUNTS 3 /* arrived, tight_deadline and refused; or answer starts */
 
 /* The sum over all sources for one model, use or upstream. */
 typedef struct {
@@ -100,11 +100,11 @@
     char *model;
     char *adapter;
     uint32_t levels[LEVELS];
-    uint32_t told[LEVELS];   /* levels as last collected */
-    uint32_t counts[COUNTS]; /* counts since then */
-    uint32_t contributions;  /* sources that contribute to it; 0: freed by the
-                                next collection */
-    bool changed;            /* it is in Dm.changes */
+    uint32_t collected[LEVELS]; /* levels as last collected */
+    uint32_t counts[COUNTS];    /* counts since then */
+    uint32_t contributions; /* sources that contribute to it; 0: freed by the
+                               next collection */
+    bool changed;           /* it is in Dm.changes */
 } Sum;
 
 /* The share of one source in a sum. */
@@ -296,7 +296,7 @@
     uint32_t levels[LEVELS] = {w->waiting, w->running, 0};
     set_contribution(l, s, r, levels);
     add_count(l, r, 0, w->arrived);
-    add_count(l, r, 1, w->hurried);
+    add_count(l, r, 1, w->tight_deadline);
     add_count(l, r, 2, w->refused);
     return r->levels[0] > before;
 }
@@ -316,16 +316,16 @@
     bool more_waiting = false;
     s->last_update_ms = now_ms;
     s->update++;
-    for (guint i = 0; i < d->wants->len; i++) {
-        more_waiting =
-            apply_model_demand(l, s, d->wants->pdata[i]) || more_waiting;
+    for (guint i = 0; i < d->model_demands->len; i++) {
+        more_waiting = apply_model_demand(l, s, d->model_demands->pdata[i]) ||
+                       more_waiting;
     }
     for (guint i = 0; i < d->uses->len; i++) {
         apply_use(l, s, d->uses->pdata[i]);
     }
-    for (guint i = 0; i < d->began->len; i++) {
-        const DmBegan *b = d->began->pdata[i];
-        add_count(l, get_sum(l, SUM_BEGAN, b->upstream, NULL, NULL), 0,
+    for (guint i = 0; i < d->answer_starts->len; i++) {
+        const DmAnswerStarts *b = d->answer_starts->pdata[i];
+        add_count(l, get_sum(l, SUM_ANSWER_STARTS, b->upstream, NULL, NULL), 0,
                   b->count);
     }
     sweep_contributions(l, s, d->whole);
@@ -379,7 +379,7 @@
         w->waiting = r->levels[0];
         w->running = r->levels[1];
         w->arrived = r->counts[0];
-        w->hurried = r->counts[1];
+        w->tight_deadline = r->counts[1];
         w->refused = r->counts[2];
     }
     else if (r->kind == SUM_USE) {
@@ -389,7 +389,7 @@
         u->slow = r->levels[2];
     }
     else {
-        dm_add_began(d, r->upstream, r->counts[0]);
+        dm_add_answer_starts(d, r->upstream, r->counts[0]);
     }
 }
 
@@ -410,7 +410,8 @@
     if (whole) {
         return !is_zero(r->levels) || has_count(r);
     }
-    return memcmp(r->told, r->levels, sizeof(r->told)) != 0 || has_count(r);
+    return memcmp(r->collected, r->levels, sizeof(r->collected)) != 0 ||
+           has_count(r);
 }
 
 static void
@@ -419,7 +420,7 @@
     if (is_unreported(r, d->whole)) {
         report_sum(d, r);
     }
-    memcpy(r->told, r->levels, sizeof(r->told));
+    memcpy(r->collected, r->levels, sizeof(r->collected));
     memset(r->counts, 0, sizeof(r->counts));
     r->changed = false;
     if (r->contributions == 0) {
--- a/src/dm.h
+++ b/src/dm.h
@@ -25,8 +25,8 @@
     uint32_t waiting; /* requests, for it to be loaded */
     uint32_t running;
     uint32_t arrived;
-    uint32_t hurried; /* of these, with too little time for a load from disk */
-    uint32_t refused; /* of these, because too many wait already */
+    uint32_t tight_deadline; /* of these, due before a load from disk ends */
+    uint32_t refused;        /* because too many wait already */
 } DmModelDemand;
 
 /* Requests on one upstream for one model or adapter; levels. */
@@ -41,18 +41,18 @@
                         what their route allows */
 } DmUse;
 
-/* Answers that began on one upstream; a count since the last update. */
+/* Answers that began on one upstream. */
 typedef struct {
     char *upstream;
-    uint32_t count;
-} DmBegan;
+    uint32_t count; /* since the last update */
+} DmAnswerStarts;
 
 typedef struct {
-    bool whole;       /* a snapshot: rows left out are zero; otherwise a delta:
-                         they are unchanged */
-    GPtrArray *wants; /* DmModelDemand */
-    GPtrArray *uses;  /* DmUse */
-    GPtrArray *began; /* DmBegan */
+    bool whole; /* a snapshot: rows left out are zero; otherwise a delta:
+                   they are unchanged */
+    GPtrArray *model_demands; /* DmModelDemand */
+    GPtrArray *uses;          /* DmUse */
+    GPtrArray *answer_starts; /* DmAnswerStarts */
 } DmDemand;
 
 DmDemand *dm_create_demand(bool whole);
@@ -61,7 +61,7 @@
                                    const char *adapter);
 DmUse *dm_add_use(DmDemand *d, const char *upstream, const char *model,
                   const char *adapter);
-void dm_add_began(DmDemand *d, const char *upstream, uint32_t count);
+void dm_add_answer_starts(DmDemand *d, const char *upstream, uint32_t count);
 
 typedef struct Dm Dm;
 
--- a/src/mp.c
+++ b/src/mp.c
@@ -376,10 +376,10 @@
 }
 
 static void
-invalidate_content(Up *u, uint64_t ask_ms)
+invalidate_content(Up *u, uint64_t report_ms)
 {
-    u->known = false;
-    u->next_report_ms = MAX(u->next_report_ms, ask_ms);
+    u->content_known = false;
+    u->next_report_ms = MAX(u->next_report_ms, report_ms);
 }
 
 static DepUpstream *
@@ -411,7 +411,7 @@
             mp_on_store_load_end(m, now_ms, r);
             r->ready_ms = now_ms;
             u->busy_until_ms = now_ms;
-            u->told = false;
+            u->published = false;
         }
     }
 }
@@ -477,7 +477,7 @@
         return;
     }
     finish_reported_loads(m, u, now_ms, entry);
-    if (u->known &&
+    if (u->content_known &&
         now_ms > MAX(u->changed_ms, u->busy_until_ms) + ENTRY_LAG_MS &&
         !matches_entry(m, u, entry)) {
         mp_on_suspected(m, now_ms, entry->id);
@@ -502,8 +502,8 @@
 void
 mp_keep_only(Mp *m, GHashTable *ids)
 {
-    g_autoptr(GList) known = g_hash_table_get_keys(m->ups);
-    for (GList *l = known; l; l = l->next) {
+    g_autoptr(GList) all_ids = g_hash_table_get_keys(m->ups);
+    for (GList *l = all_ids; l; l = l->next) {
         if (!g_hash_table_contains(ids, l->data)) {
             mp_on_removed(m, l->data);
         }
@@ -580,8 +580,8 @@
 static void
 apply_report(Mp *m, Up *u, uint64_t now_ms, const DepUpstream *report)
 {
-    u->known = true;
-    u->told = false;
+    u->content_known = true;
+    u->published = false;
     u->sequence = report->sequence;
     u->busy_until_ms = 0;
     GPtrArray *old = u->replicas;
@@ -595,12 +595,12 @@
 }
 
 static void
-set_reached(Mp *m, Up *u, bool reached)
+set_reachable(Mp *m, Up *u, bool reachable)
 {
-    if (!reached && !u->unreached) {
-        m->out.away(m->out.ctx, u->entry->id);
+    if (!reachable && !u->unreachable) {
+        m->out.publish_unreachable(m->out.ctx, u->entry->id);
     }
-    u->unreached = !reached;
+    u->unreachable = !reachable;
 }
 
 /* Reports of an upstream that does not answer are requested at doubling
@@ -622,12 +622,12 @@
     }
     u->report_pending = false;
     u->next_report_ms = now_ms + get_report_interval_ms(u, report != NULL);
-    if (!report && !u->unreached) {
+    if (!report && !u->unreachable) {
         /* Request reports until it answers: if it has restarted its content
            has changed. */
         invalidate_content(u, now_ms);
     }
-    set_reached(m, u, report != NULL);
+    set_reachable(m, u, report != NULL);
     if (now_ms < u->changed_ms + REPORT_LAG_MS) {
         u->next_report_ms = u->changed_ms + REPORT_LAG_MS;
         return;
@@ -712,7 +712,7 @@
         g_ptr_array_remove(r->adapters, a);
     }
     u->sequence++;
-    u->told = false;
+    u->published = false;
 }
 
 static void
@@ -724,7 +724,7 @@
     else {
         apply_model_order(u, now_ms, m->load_integral_ms);
     }
-    u->told = false;
+    u->published = false;
 }
 
 /* The unload is not known to have been accepted.  The replica is published
@@ -736,7 +736,7 @@
     Replica *r = mp_find_replica(u, u->order_model);
     if (r) {
         r->unloading = false;
-        u->told = false;
+        u->published = false;
     }
 }
 
@@ -788,7 +788,7 @@
     }
     /* If only the answer is missing the upstream may be healthy: a report is
        requested first. */
-    set_reached(m, u, result != MP_ORDER_NOT_SENT);
+    set_reachable(m, u, result != MP_ORDER_NOT_SENT);
     switch (result) {
     case MP_ORDER_ACCEPTED:
         on_accepted(m, u, now_ms);
@@ -823,7 +823,7 @@
 static void
 verify_waited_models(Mp *m, uint64_t now_ms, Up *u)
 {
-    if (!u->known || u->report_pending || u->ordered ||
+    if (!u->content_known || u->report_pending || u->ordered ||
         u->busy_until_ms > now_ms ||
         now_ms < u->verified_ms + VERIFY_AFTER_MS) {
         return;
@@ -858,7 +858,7 @@
 {
     verify_waited_models(m, now_ms, u);
     mp_check_overdue_loads(m, now_ms, u);
-    if ((!u->known || is_load_late(u, now_ms)) && !u->report_pending &&
+    if ((!u->content_known || is_load_late(u, now_ms)) && !u->report_pending &&
         !u->ordered && now_ms >= u->next_report_ms &&
         m->reports_pending < MAX_REPORTS_PENDING) {
         request_report(m, u);
@@ -889,8 +889,8 @@
     g_hash_table_iter_init(&it, m->ups);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Up *u = v;
-        if (u->service && u->known &&
-            (!u->told || mp_has_just_become_ready(u, now_ms, last_ms))) {
+        if (u->service && u->content_known &&
+            (!u->published || mp_has_just_become_ready(u, now_ms, last_ms))) {
             mp_publish(m, u, now_ms);
         }
     }
@@ -934,8 +934,8 @@
 static bool
 is_cut_off(const Up *u, uint64_t now_ms, GHashTable *linked)
 {
-    return u->unreached &&
-           (now_ms < u->load->began_ms + RECENT_ANSWER_MS ||
+    return u->unreachable &&
+           (now_ms < u->load->last_start_ms + RECENT_ANSWER_MS ||
             !g_hash_table_contains(linked, u->entry->data_centre));
 }
 
--- a/src/mp.h
+++ b/src/mp.h
@@ -60,9 +60,9 @@
     /* Announce to all gateways that exactly MODELS (DepResident, borrowed) can
        be used on UPSTREAM. */
     void (*publish)(void *ctx, const char *upstream, const GPtrArray *models);
-    /* UPSTREAM did not answer: gateways must not use it until the next
-       publish for it. */
-    void (*away)(void *ctx, const char *upstream);
+    /* Announce that UPSTREAM did not answer: gateways must not use it until
+       the next publish for it. */
+    void (*publish_unreachable)(void *ctx, const char *upstream);
     /* For the log: a replica of MODEL is now estimated to serve CAPACITY
        concurrent requests in time.  SLOW is the share of requests that were
        slow with LOAD concurrent requests at each of the REPLICAS. */
@@ -78,8 +78,8 @@
    from load times. */
 typedef struct {
     uint32_t at_once; /* limit of concurrent loads */
-    uint32_t most;    /* upper bound of at_once: loads were late with more; 0:
-                         none was late yet */
+    uint32_t most;    /* upper bound of at_once, as loads were late with more;
+                         0: no late load recently */
 } MpStoreLimits;
 
 typedef struct Mp Mp;
--- a/src/mp_demand.c
+++ b/src/mp_demand.c
@@ -25,9 +25,9 @@
 }
 
 double
-mp_get_hurried_rate(const Demand *d, uint64_t now_ms)
+mp_get_tight_deadline_rate(const Demand *d, uint64_t now_ms)
 {
-    return decay(d->hurried, now_ms, d->rated_ms, RATE_WINDOW_MS);
+    return decay(d->tight_deadline, now_ms, d->rated_ms, RATE_WINDOW_MS);
 }
 
 double
@@ -45,10 +45,11 @@
 }
 
 static void
-add_arrivals(Demand *d, uint64_t now_ms, uint32_t count, uint32_t hurried)
+add_arrivals(Demand *d, uint64_t now_ms, uint32_t count,
+             uint32_t tight_deadline)
 {
-    d->hurried =
-        mp_get_hurried_rate(d, now_ms) + hurried * 1000. / RATE_WINDOW_MS;
+    d->tight_deadline = mp_get_tight_deadline_rate(d, now_ms) +
+                        tight_deadline * 1000. / RATE_WINDOW_MS;
     d->rate = mp_get_rate(d, now_ms) + count * 1000. / RATE_WINDOW_MS;
     d->rated_ms = now_ms;
 }
@@ -107,10 +108,10 @@
     }
     set_levels(d, now_ms, w->waiting, w->running);
     if (w->arrived > 0) {
-        add_arrivals(&model->demand, now_ms, w->arrived, w->hurried);
+        add_arrivals(&model->demand, now_ms, w->arrived, w->tight_deadline);
     }
     if (w->arrived > 0 && w->adapter) {
-        add_arrivals(d, now_ms, w->arrived, w->hurried);
+        add_arrivals(d, now_ms, w->arrived, w->tight_deadline);
     }
     if (w->refused > 0) {
         add_refused(&model->demand, now_ms, w->refused);
@@ -332,17 +333,17 @@
     if (sums->whole) {
         clear_levels(m, now_ms);
     }
-    for (guint i = 0; i < sums->wants->len; i++) {
-        apply_model_demand(m, now_ms, sums->wants->pdata[i]);
+    for (guint i = 0; i < sums->model_demands->len; i++) {
+        apply_model_demand(m, now_ms, sums->model_demands->pdata[i]);
     }
     for (guint i = 0; i < sums->uses->len; i++) {
         apply_use(m, now_ms, sums->uses->pdata[i]);
     }
-    for (guint i = 0; i < sums->began->len; i++) {
-        const DmBegan *b = sums->began->pdata[i];
+    for (guint i = 0; i < sums->answer_starts->len; i++) {
+        const DmAnswerStarts *b = sums->answer_starts->pdata[i];
         UpstreamLoad *l = mp_get_upstream_load(m, b->upstream);
-        l->began += b->count;
-        l->began_ms = now_ms;
+        l->answer_starts += b->count;
+        l->last_start_ms = now_ms;
     }
 }
 
@@ -413,7 +414,7 @@
         return;
     }
     m->idle_checked_ms = now_ms;
-    m->asked = false;
+    m->any_demand = false;
     g_hash_table_foreach_remove(m->adapters, is_idle_adapter, &now_ms);
     g_hash_table_foreach_remove(m->loads, is_idle_load, m);
     GHashTableIter it;
@@ -422,7 +423,7 @@
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Model *model = v;
         if (has_demand(&model->demand, now_ms)) {
-            m->asked = true;
+            m->any_demand = true;
         }
         else if (is_unreferenced(m, model)) {
             g_hash_table_iter_remove(&it);
--- a/src/mp_int.h
+++ b/src/mp_int.h
@@ -21,10 +21,10 @@
 typedef struct {
     uint32_t waiting; /* requests, for it to be loaded */
     uint32_t running;
-    double rate;       /* arrivals a second, decayed */
-    uint64_t rated_ms; /* time of rate and hurried */
-    double hurried;    /* part of rate: too urgent to wait for a load */
-    double refused;    /* refusals a second, decayed */
+    double rate;           /* arrivals a second, decayed */
+    uint64_t rated_ms;     /* time of rate and tight_deadline */
+    double tight_deadline; /* part of rate: due before a load from disk ends */
+    double refused;        /* refusals a second, decayed */
     uint64_t refused_ms;
     uint64_t waiting_since_ms; /* 0: no request waits */
     uint64_t next_try_ms;      /* no upstream was found: next attempt */
@@ -84,9 +84,9 @@
 typedef struct {
     GPtrArray *uses; /* Use */
     uint32_t running;
-    uint32_t queued;          /* of these, waiting for their first byte */
-    uint32_t began;           /* answers that began since the last sample */
-    uint64_t began_ms;        /* when the last of them was reported */
+    uint32_t queued;        /* of these, waiting for their first byte */
+    uint32_t answer_starts; /* first bytes of answers since the last sample */
+    uint64_t last_start_ms; /* when the last of them was reported */
     uint64_t queued_since_ms; /* 0: none is queued */
 } UpstreamLoad;
 
@@ -97,7 +97,7 @@
     uint32_t reserved_mb;      /* of its memory, for adapters */
     GPtrArray *in_memory;      /* Model: with cached weights in main memory */
     GPtrArray *on_disk;        /* Model: with cached weights on disk */
-    bool known;                /* replicas and sequence are up to date */
+    bool content_known;        /* replicas and sequence are up to date */
     bool report_pending;       /* a report was requested */
     bool busy;                 /* last report: an order is in progress */
     uint64_t next_report_ms;   /* no report is requested before */
@@ -120,8 +120,8 @@
     uint64_t order_load_ms; /* expected time of a model's load */
     bool order_from_store;
     /* Other state. */
-    bool told;             /* its present content has been published */
-    bool unreached;        /* the last call did not reach it */
+    bool published;        /* its present content */
+    bool unreachable;      /* the last call did not reach it */
     uint64_t suspected_ms; /* last report requested for a broken connection */
     uint64_t verified_ms;  /* last report requested by verify_waited_models */
     UpstreamLoad *load;
@@ -153,7 +153,7 @@
     GArray *store_starts; /* uint64_t: start times of loads from the store */
     uint64_t next_prefetch_ms;
     uint64_t idle_checked_ms;        /* last check for idle models */
-    bool asked;                      /* some model has demand */
+    bool any_demand;                 /* some model has demand */
     uint32_t reports_pending;        /* upstreams with a requested report */
     const DepService *store_blocked; /* in this tick the store starts no more
                                         loads for it */
@@ -168,8 +168,8 @@
 typedef struct {
     Model *model;
     uint64_t since_ms;
-    bool none;   /* it has no replica, nor is one planned */
-    double gain; /* callers a second that the replica serves in time */
+    bool no_replica; /* it has no replica, nor is one planned */
+    double gain;     /* callers a second that the replica serves in time */
 } Shortage;
 
 /* mp.c */
@@ -188,7 +188,7 @@
                                const char *adapter);
 bool mp_is_in_use(const Up *u, const Model *model, const char *adapter);
 double mp_get_rate(const Demand *d, uint64_t now_ms);
-double mp_get_hurried_rate(const Demand *d, uint64_t now_ms);
+double mp_get_tight_deadline_rate(const Demand *d, uint64_t now_ms);
 double mp_get_refused_rate(const Demand *d, uint64_t now_ms);
 UpstreamLoad *mp_get_upstream_load(Mp *m, const char *upstream);
 void mp_free_upstream_load(void *load);
--- a/src/mp_place.c
+++ b/src/mp_place.c
@@ -68,7 +68,7 @@
 static void
 count_replicas_of(const Up *u)
 {
-    if (!mp_can_use(u) || u->unreached) {
+    if (!mp_can_use(u) || u->unreachable) {
         return;
     }
     for (guint i = 0; i < u->replicas->len; i++) {
@@ -158,7 +158,7 @@
     double gain = get_late_load(offered, replicas, model->capacity) -
                   get_late_load(offered, replicas + 1, model->capacity);
     if (replicas == 1) {
-        gain += mp_get_hurried_rate(d, now_ms) * UPSTREAM_LOSS_SHARE;
+        gain += mp_get_tight_deadline_rate(d, now_ms) * UPSTREAM_LOSS_SHARE;
     }
     return gain;
 }
@@ -175,15 +175,15 @@
     if (replicas > 1) {
         return get_gain(r->model, now_ms, replicas - 1);
     }
-    double hurried = mp_get_hurried_rate(d, now_ms);
-    double tolerant = MAX(mp_get_rate(d, now_ms) - hurried, 0);
+    double tight_deadline = mp_get_tight_deadline_rate(d, now_ms);
+    double tolerant = MAX(mp_get_rate(d, now_ms) - tight_deadline, 0);
     if (!mp_has_copy(u, r->model)) {
         /* It would have to be reloaded from the weight store, and would be
            prefetched again: models without a copy must not evict each other
            endlessly. */
-        return MAX(hurried + tolerant, PREFETCH_GAIN);
+        return MAX(tight_deadline + tolerant, PREFETCH_GAIN);
     }
-    return IDLE_MODEL_LOSS + hurried + tolerant * RELOAD_LATE_SHARE;
+    return IDLE_MODEL_LOSS + tight_deadline + tolerant * RELOAD_LATE_SHARE;
 }
 
 /* Mean duration of the requests for a model by Little's law: the number
@@ -230,7 +230,9 @@
     return p->loss * HORIZON_S + p->wait_s * gain;
 }
 
-#define MAX_VICTIMS 16 /* for one load */
+/* Maximum number of evictions for one load.  Where replicas are so small that
+   more would be needed, no room is made. */
+#define MAX_VICTIMS 16
 
 typedef struct {
     Replica *list[MAX_VICTIMS];
@@ -347,7 +349,7 @@
 bool
 mp_can_order(const Up *u, uint64_t now_ms)
 {
-    return u->known && !u->ordered && now_ms >= u->retry_ms &&
+    return u->content_known && !u->ordered && now_ms >= u->retry_ms &&
            now_ms >= u->busy_until_ms && !u->entry->draining;
 }
 
@@ -370,7 +372,7 @@
     Replica *r = find_unloading(u);
     if (r) {
         r->unloading = false;
-        u->told = false;
+        u->published = false;
     }
 }
 
@@ -389,7 +391,7 @@
             return;
         }
         r->unloading = true;
-        u->told = false;
+        u->published = false;
     }
     if (is_idle(now_ms, u, r)) {
         mp_send_order(m, now_ms, u, r->model, NULL, true);
@@ -448,8 +450,9 @@
     CopyState best = COPY_NONE;
     for (guint i = 0; i < model->copies->len; i++) {
         const Up *u = model->copies->pdata[i];
-        if (mp_can_use(u) && (u->unreached || !mp_find_replica(u, model))) {
-            best = MAX(best, u->unreached ? COPY_UNREACHABLE : COPY_REACHABLE);
+        if (mp_can_use(u) && (u->unreachable || !mp_find_replica(u, model))) {
+            best =
+                MAX(best, u->unreachable ? COPY_UNREACHABLE : COPY_REACHABLE);
         }
     }
     return best;
@@ -471,7 +474,7 @@
         copy == COPY_REACHABLE
             ? COPY_WAIT_MS
             : MAX(COPY_WAIT_MS, load_ms / UNREACHABLE_WAIT_DIVISOR);
-    return w->none && w->model->demand.waiting > 0 &&
+    return w->no_replica && w->model->demand.waiting > 0 &&
            now_ms > w->since_ms + wait_ms;
 }
 
@@ -484,8 +487,8 @@
 consider_upstream(uint64_t now_ms, const Shortage *w, Up *u, Candidate *best)
 {
     const DepModel *d = mp_find_declared(u, w->model);
-    if (!d || !mp_can_use(u) || u->goal || !u->known || u->ordered ||
-        u->unreached || mp_find_replica(u, w->model)) {
+    if (!d || !mp_can_use(u) || u->goal || !u->content_known || u->ordered ||
+        u->unreachable || mp_find_replica(u, w->model)) {
         return;
     }
     double cost = compute_load_cost(now_ms, u, w->model, d, w->gain);
@@ -570,10 +573,10 @@
         Shortage w = {.model = model,
                       .since_ms =
                           d->waiting_since_ms ? d->waiting_since_ms : now_ms,
-                      .none = have == 0};
-        w.gain = w.none ? get_unserved_rate(d, now_ms)
-                        : get_gain(model, now_ms, have);
-        if (w.gain > (w.none ? IDLE_MODEL_LOSS : MIN_REPLICA_GAIN)) {
+                      .no_replica = have == 0};
+        w.gain = w.no_replica ? get_unserved_rate(d, now_ms)
+                              : get_gain(model, now_ms, have);
+        if (w.gain > (w.no_replica ? IDLE_MODEL_LOSS : MIN_REPLICA_GAIN)) {
             g_array_append_val(out, w);
         }
     }
@@ -623,10 +626,11 @@
 static void
 prefetch_one(Mp *m, uint64_t now_ms, const DepService *s)
 {
-    /* Loads on demand take precedence: a prefetch occupies the store for as
-       long as they would have to wait. */
-    bool scarce = m->asked && m->store.at_once <= 1;
-    uint32_t max_loads = m->asked ? m->store.at_once / 2 : m->store.at_once;
+    /* Loads on demand take precedence, as they would have to wait for a
+       prefetch that occupies the store. */
+    bool scarce = m->any_demand && m->store.at_once <= 1;
+    uint32_t max_loads =
+        m->any_demand ? m->store.at_once / 2 : m->store.at_once;
     if (scarce || mp_count_store_loads(m) >= max_loads ||
         !mp_may_start_store_load(m, now_ms, s, 0)) {
         return;
--- a/src/mp_publish.c
+++ b/src/mp_publish.c
@@ -38,7 +38,7 @@
 mp_publish(Mp *m, Up *u, uint64_t now_ms)
 {
     DepUpstream *view = make_view(u, now_ms);
-    u->told = true;
+    u->published = true;
     m->out.publish(m->out.ctx, u->entry->id, view->models);
     dep_destroy_upstream(view);
 }
@@ -76,13 +76,13 @@
         u->start_interval_ms = INITIAL_INTERVAL_MS;
     }
     if (waited && passed_ms <= MAX_SAMPLE_MS) {
-        double sample_ms = (double)passed_ms / MAX(l->began, 1);
-        if (l->began > 0 || sample_ms > u->start_interval_ms) {
+        double sample_ms = (double)passed_ms / MAX(l->answer_starts, 1);
+        if (l->answer_starts > 0 || sample_ms > u->start_interval_ms) {
             u->start_interval_ms +=
                 SAMPLE_WEIGHT * (sample_ms - u->start_interval_ms);
         }
     }
-    l->began = 0;
+    l->answer_starts = 0;
     u->last_queued = l->queued;
     u->sampled_ms = now_ms;
 }
@@ -96,7 +96,7 @@
 is_stalled(const UpstreamLoad *l, uint64_t now_ms)
 {
     return l->queued_since_ms &&
-           now_ms > MAX(l->queued_since_ms, l->began_ms) + STALLED_MS;
+           now_ms > MAX(l->queued_since_ms, l->last_start_ms) + STALLED_MS;
 }
 
 void
@@ -201,7 +201,7 @@
     /* Models that need the weight store are queued for its slots. */
     for (guint i = 0; i < shortages->len; i++) {
         const Shortage *w = &g_array_index(shortages, Shortage, i);
-        if (w->none && !mp_is_cached(w->model)) {
+        if (w->no_replica && !mp_is_cached(w->model)) {
             uint64_t *first = mp_pick_first_slot(m, free_in_ms);
             *first += get_longest_load_ms(m, w->model);
             visit(ctx, w->model->name, (uint32_t)*first);
--- a/src/mp_store.c
+++ b/src/mp_store.c
@@ -4,8 +4,8 @@
 
 /* A load is late when it exceeds its declared time by this share of it. */
 #define LATE_SHARE 0.3
-/* A load counts as in time up to this share of its declared time beyond it,
-   and the delay of the report of its end. */
+/* A load is in time if it exceeds its declared time by at most this share of
+   it, plus IN_TIME_MS for the delay of the report of its end. */
 #define IN_TIME_SHARE 0.1
 #define IN_TIME_MS 450
 /* Share of a load's time for which a further load must have overlapped with it
@@ -48,7 +48,8 @@
     g_hash_table_iter_init(&it, m->ups);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         const Up *u = v;
-        n += (u->ordered && u->order_from_store) || (!u->known && u->busy);
+        n += (u->ordered && u->order_from_store) ||
+             (!u->content_known && u->busy);
     }
     return n;
 }
@@ -95,9 +96,9 @@
     m->store_late_ms = now_ms;
 }
 
-/* If the load was in time, the store serves as many concurrent loads at full
-   speed.  From two on the limit is raised by one more, which can slow down the
-   others by half at most. */
+/* If the load was in time, the store serves at full speed as many concurrent
+   loads as there were.  From two on the limit is raised by one more, which
+   prolongs the others by half at most. */
 void
 mp_on_store_load_end(Mp *m, uint64_t now_ms, const Replica *r)
 {
@@ -243,7 +244,7 @@
     }
 }
 
-/* ---- end of a load ------------------------------------------------------ */
+/* ---- expected end of loads ---------------------------------------------- */
 
 void
 mp_list_store_slots(const Mp *m, uint64_t now_ms, uint64_t *free_in_ms)
--- a/tests/bench_mp.c
+++ b/tests/bench_mp.c
@@ -27,7 +27,7 @@
     char *coming;
     uint64_t ready_ms;
     bool ordered;
-    bool asked;
+    bool report_requested;
 } Engine;
 
 typedef struct {
@@ -91,7 +91,7 @@
 on_request_report(void *ctx, const DepUpstream *of)
 {
     Bench *b = ctx;
-    ((Engine *)g_hash_table_lookup(b->index, of->id))->asked = true;
+    ((Engine *)g_hash_table_lookup(b->index, of->id))->report_requested = true;
 }
 
 static void
@@ -103,7 +103,7 @@
 }
 
 static void
-on_away(void *ctx, const char *upstream)
+on_unreachable(void *ctx, const char *upstream)
 {
     (void)ctx;
     (void)upstream;
@@ -128,7 +128,7 @@
 }
 
 static void
-answer_requests(Bench *b, Engine *e)
+step_engine(Bench *b, Engine *e)
 {
     if (e->coming && b->now_ms >= e->ready_ms) {
         dep_add_resident(e->state, e->coming);
@@ -137,9 +137,9 @@
     }
     if (e->ordered) {
         e->ordered = false;
-        MpOrderResult end = MP_ORDER_ACCEPTED;
+        MpOrderResult result = MP_ORDER_ACCEPTED;
         if (e->coming || e->order.sequence != e->state->sequence) {
-            end = MP_ORDER_CONFLICT;
+            result = MP_ORDER_CONFLICT;
         }
         else {
             e->state->sequence++;
@@ -154,7 +154,7 @@
                         g_ptr_array_remove_index(r->adapters, i);
                     }
                 }
-                end = MP_ORDER_NO_CHANGE;
+                result = MP_ORDER_NO_CHANGE;
             }
             else if (!e->order_adapter && e->order.unload && r) {
                 g_ptr_array_remove(e->state->models, r);
@@ -166,10 +166,10 @@
         }
         g_clear_pointer(&e->order_model, g_free);
         g_clear_pointer(&e->order_adapter, g_free);
-        MEASURE(mp_on_order_result(b->mp, b->now_ms, e->state->id, end));
+        MEASURE(mp_on_order_result(b->mp, b->now_ms, e->state->id, result));
     }
-    if (e->asked) {
-        e->asked = false;
+    if (e->report_requested) {
+        e->report_requested = false;
         e->state->busy = e->coming != NULL;
         MEASURE(mp_on_report(b->mp, b->now_ms, e->state->id, e->state));
     }
@@ -246,9 +246,9 @@
             DmModelDemand *w = dm_add_model_demand(d, name, NULL);
             w->arrived = b->arrived[gateway * b->models + r->model];
             b->arrived[gateway * b->models + r->model] = 0;
-            row_of[r->model] = d->wants->len;
+            row_of[r->model] = d->model_demands->len;
         }
-        DmModelDemand *w = d->wants->pdata[row_of[r->model] - 1];
+        DmModelDemand *w = d->model_demands->pdata[row_of[r->model] - 1];
         if (r->engine < 0) {
             w->waiting++;
             continue;
@@ -289,7 +289,7 @@
             MEASURE(tick(b));
         }
         for (uint32_t i = 0; i < b->engine_count; i++) {
-            answer_requests(b, &b->engines[i]);
+            step_engine(b, &b->engines[i]);
         }
     }
     for (guint i = 0; i < b->requests->len; i++) {
@@ -309,8 +309,8 @@
 start(Bench *b)
 {
     MpParams p = {true};
-    MpOutput out = {b,          on_order, on_request_report,
-                    on_publish, on_away,  on_capacity_estimated};
+    MpOutput out = {b,          on_order,       on_request_report,
+                    on_publish, on_unreachable, on_capacity_estimated};
     b->mp = mp_create(&p, &out);
     b->demand = dm_create();
     DepConfig *c = dep_create_config();
--- a/tests/script_dm.c
+++ b/tests/script_dm.c
@@ -5,7 +5,7 @@
      update SOURCE whole|delta    begins an update; its rows follow
      demand MODEL[/ADAPTER] WAITING RUNNING [ARRIVED HURRIED REFUSED]
      use UPSTREAM MODEL[/ADAPTER] RUNNING QUEUED
-     began UPSTREAM COUNT
+     began UPSTREAM COUNT         answers that began there
      end                          applies the update; prints "more waiting" if
                                   dm_apply returns true
      remove SOURCE
@@ -39,7 +39,7 @@
     w->waiting = get_number(words, count, 2);
     w->running = get_number(words, count, 3);
     w->arrived = get_number(words, count, 4);
-    w->hurried = get_number(words, count, 5);
+    w->tight_deadline = get_number(words, count, 5);
     w->refused = get_number(words, count, 6);
 }
 
@@ -72,15 +72,15 @@
 print_sums(const DmDemand *d)
 {
     g_autoptr(GPtrArray) lines = g_ptr_array_new_with_free_func(g_free);
-    for (guint i = 0; i < d->wants->len; i++) {
-        const DmModelDemand *w = d->wants->pdata[i];
+    for (guint i = 0; i < d->model_demands->len; i++) {
+        const DmModelDemand *w = d->model_demands->pdata[i];
         g_ptr_array_add(
-            lines,
-            g_strdup_printf("demand %s%s%s waiting %u running %u arrived "
-                            "%u hurried %u refused %u",
-                            w->model, w->adapter ? "/" : "",
-                            w->adapter ? w->adapter : "", w->waiting,
-                            w->running, w->arrived, w->hurried, w->refused));
+            lines, g_strdup_printf(
+                       "demand %s%s%s waiting %u running %u arrived "
+                       "%u hurried %u refused %u",
+                       w->model, w->adapter ? "/" : "",
+                       w->adapter ? w->adapter : "", w->waiting, w->running,
+                       w->arrived, w->tight_deadline, w->refused));
     }
     for (guint i = 0; i < d->uses->len; i++) {
         const DmUse *u = d->uses->pdata[i];
@@ -90,8 +90,8 @@
                        u->model, u->adapter ? "/" : "",
                        u->adapter ? u->adapter : "", u->running, u->queued));
     }
-    for (guint i = 0; i < d->began->len; i++) {
-        const DmBegan *b = d->began->pdata[i];
+    for (guint i = 0; i < d->answer_starts->len; i++) {
+        const DmAnswerStarts *b = d->answer_starts->pdata[i];
         g_ptr_array_add(lines,
                         g_strdup_printf("began %s %u", b->upstream, b->count));
     }
@@ -121,7 +121,7 @@
         read_use(s, words, count);
     }
     else if (strcmp(verb, "began") == 0 && count == 3) {
-        dm_add_began(s->update, words[1], get_number(words, count, 2));
+        dm_add_answer_starts(s->update, words[1], get_number(words, count, 2));
     }
     else if (strcmp(verb, "end") == 0) {
         apply_update(s);
