--- a/src/ls.c
+++ b/src/ls.c
@@ -6,7 +6,8 @@
 /* Pause after the store refused an append, so as not to add to its load. */
 #define REFUSED_PAUSE_MS 120
 /* Between reads of the topic while there is no contact with the leader;
-   doubled after each failed read, up to MAX_READ_DOUBLINGS times. */
+   doubled with each failed read after the first, up to MAX_READ_DOUBLINGS
+   times. */
 #define READ_INTERVAL_MS 300
 #define MAX_READ_DOUBLINGS 2
 /* VMs claim at different times, and the VM of the former leader, which needs
@@ -50,12 +51,12 @@
     uint32_t record_fleet;    /* 0: not in the record */
     uint32_t fleet;           /* written in our records */
     uint32_t failed_reads;    /* consecutive */
-    bool known;               /* the end of the topic has been read */
+    bool caught_up;           /* the topic has been read to its end */
     bool reading;
     bool writing;
     bool releasing; /* the pending append releases the lease */
-    bool holding;
-    bool stopping;
+    bool holding;   /* this VM has the lease */
+    bool stopping;  /* see ls_stop_claiming */
 };
 
 Ls *
@@ -162,7 +163,7 @@
     }
     /* A leader sends no orders after it wrote that it released the lease. */
     uint32_t order_ms = is_free(l) ? 0 : l->params.order_ms;
-    return MAX(now_ms, l->record_seen_ms + order_ms + l->params.rest_ms);
+    return MAX(now_ms, l->record_seen_ms + order_ms + l->params.guard_ms);
 }
 
 /* When the lease may be claimed, going by the newest record. */
@@ -213,7 +214,7 @@
     bool out_of_contact = !l->holding && now_ms >= l->held_off_until_ms &&
                           now_ms - l->contact_ms > l->params.leader_timeout_ms;
     if (!l->reading && !l->writing && now_ms >= l->next_read_ms &&
-        (!l->known || out_of_contact)) {
+        (!l->caught_up || out_of_contact)) {
         l->reading = true;
         l->read_started_ms = now_ms;
         l->out.read(l->out.ctx, l->tail);
@@ -229,7 +230,8 @@
         end_leadership(l);
     }
     read_if_due(l, now_ms);
-    if (!l->known || l->writing || l->reading || now_ms < l->next_append_ms) {
+    if (!l->caught_up || l->writing || l->reading ||
+        now_ms < l->next_append_ms) {
         return;
     }
     if (!l->holding) {
@@ -244,18 +246,18 @@
 }
 
 void
-ls_on_read(Ls *l, uint64_t now_ms, StResult end, const char *value,
+ls_on_read(Ls *l, uint64_t now_ms, StResult result, const char *value,
            uint64_t offset, uint64_t tail)
 {
     l->reading = false;
     l->next_read_ms = now_ms + (READ_INTERVAL_MS
                                 << MIN(l->failed_reads, MAX_READ_DOUBLINGS));
-    if (end != ST_OK) {
+    if (result != ST_OK) {
         l->failed_reads++;
         return;
     }
     l->failed_reads = 0;
-    l->known = true;
+    l->caught_up = true;
     l->read_sent_ms = l->read_started_ms;
     if (value && offset + 1 > l->newest) {
         l->newest = offset + 1;
@@ -274,30 +276,30 @@
 }
 
 void
-ls_on_append(Ls *l, uint64_t now_ms, StResult end, uint64_t offset,
+ls_on_append(Ls *l, uint64_t now_ms, StResult result, uint64_t offset,
              uint64_t tail)
 {
     l->writing = false;
     if (l->releasing) {
         /* Whether the append was done or not, the topic is read again. */
         l->releasing = false;
-        l->known = false;
+        l->caught_up = false;
         l->next_read_ms = now_ms;
         g_free(l->record_process);
         l->record_process = g_strdup(FREE_PROCESS);
         l->out.changed(l->out.ctx);
         return;
     }
-    if (end == ST_OK && now_ms < l->yielded_until_ms) {
+    if (result == ST_OK && now_ms < l->yielded_until_ms) {
         /* The lease was yielded while this renewal was pending. */
         l->tail = offset + 1;
         l->releasing = true;
         start_append(l, now_ms, FREE_PROCESS);
         return;
     }
-    if (end == ST_OK) {
-        bool began = !l->holding && !l->stopping;
-        if (began) {
+    if (result == ST_OK) {
+        bool begins = !l->holding && !l->stopping;
+        if (begins) {
             begin_leadership(l, now_ms, offset);
         }
         l->tail = offset + 1;
@@ -308,7 +310,7 @@
         take_record(l, now_ms, value);
         return;
     }
-    if (end == ST_REFUSED) {
+    if (result == ST_REFUSED) {
         l->next_append_ms = now_ms + REFUSED_PAUSE_MS +
                             bg_pick_random(&l->rng, REFUSED_PAUSE_MS);
         return;
@@ -316,7 +318,7 @@
     /* Another VM wrote a record, or this append was done and its answer lost:
        reading the topic shows which. */
     (void)tail;
-    l->known = false;
+    l->caught_up = false;
     l->next_read_ms = now_ms;
 }
 
--- a/src/ls.h
+++ b/src/ls.h
@@ -8,7 +8,8 @@
    from the moment at which it saw that renewal, which is later.  So the leases
    of two VMs never overlap, whatever is lost, late or paused.  Upstreams that
    don't check tokens could still act on a late order of the former leader:
-   the first order of its successor waits for a guard interval (rest_ms) more.
+   the first order of its successor waits for a further guard interval
+   (guard_ms).
 
    A state machine without threads, I/O or clock; times are of a clock that
    goes on while the VM is suspended (bg_boot_ms). */
@@ -25,8 +26,8 @@
     uint32_t lease_ms;   /* duration of the lease from its last renewal */
     uint32_t renew_ms;   /* between renewals */
     uint32_t order_ms;   /* how long after a renewal orders may be sent */
-    uint32_t rest_ms;    /* guard interval between the former leader's last
-                            order and the first of this VM */
+    uint32_t guard_ms;   /* guard interval between the former leader's last
+                           order and the first of this VM */
     uint32_t leader_timeout_ms; /* no contact for so long: read the store */
     uint32_t claim_delay_ms;    /* before a claim; larger on less fit VMs */
     uint64_t seed;
@@ -49,18 +50,19 @@
 void ls_destroy(Ls *l);
 
 void ls_on_tick(Ls *l, uint64_t now_ms);
-/* END and TAIL as of StReply; VALUE: of the newest record read, or NULL. */
-void ls_on_read(Ls *l, uint64_t now_ms, StResult end, const char *value,
+/* RESULT is StReply.end and TAIL is StReply.tail; VALUE: of the newest record
+   read, or NULL. */
+void ls_on_read(Ls *l, uint64_t now_ms, StResult result, const char *value,
                 uint64_t offset, uint64_t tail);
-void ls_on_append(Ls *l, uint64_t now_ms, StResult end, uint64_t offset,
+void ls_on_append(Ls *l, uint64_t now_ms, StResult result, uint64_t offset,
                   uint64_t tail);
 /* The leader was heard from over a link: it was alive at CONTACT_MS. */
 void ls_on_leader_contact(Ls *l, uint64_t contact_ms);
 /* This VM does not read or claim the lease until UNTIL_MS: its relay follows
    it meanwhile. */
 void ls_hold_off(Ls *l, uint64_t until_ms);
-/* Releases the lease and claims it no more for PAUSE_MS, as this VM can't
-   reach the upstreams. */
+/* Releases the lease, as this VM can't reach the upstreams, and does not claim
+   it again for PAUSE_MS. */
 void ls_yield(Ls *l, uint64_t now_ms, uint32_t pause_ms);
 /* This process is about to stop: it does not claim the lease any more, but
    goes on renewing it if it has it.  Its successor on the same VM, which
