--- a/src/rl.c
+++ b/src/rl.c
@@ -52,14 +52,14 @@
 /* The relay with the fewest members that accepts one more; NULL: none. */
 static Candidate *
 pick_relay(Candidate *relays, size_t count, const RlParams *params,
-           const char *shunned)
+           const char *unreachable_relay)
 {
     Candidate *best = NULL;
     for (size_t i = 0; i < count; i++) {
         Candidate *r = &relays[i];
         bool usable = !r->peer->leaving && r->load < params->members &&
                       r->moved < params->moves &&
-                      g_strcmp0(r->peer->address, shunned) != 0;
+                      g_strcmp0(r->peer->address, unreachable_relay) != 0;
         if (usable && (!best || r->load < best->load)) {
             best = r;
         }
@@ -91,7 +91,8 @@
 move_to_relay(Candidate *relays, size_t count, const RlParams *params,
               const Candidate *c, RlMove move, void *ctx)
 {
-    Candidate *r = pick_relay(relays, count, params, c->peer->shunned);
+    Candidate *r =
+        pick_relay(relays, count, params, c->peer->unreachable_relay);
     if (r && !c->peer->leaving) {
         r->load += 1 + c->peer->members;
         r->moved += 1 + c->peer->members;
--- a/src/rl.h
+++ b/src/rl.h
@@ -28,10 +28,11 @@
     const char *vm;
     const char *data_centre;
     const char *address; /* where others link to it */
-    const char *shunned; /* relay that it found unreachable; NULL: none */
-    uint32_t fitness;    /* share of a core, in thousandths */
-    uint32_t members;    /* gateways that are linked to it */
-    bool leaving;        /* it should not be a relay */
+    /* Address of a relay that it could not reach; NULL: none. */
+    const char *unreachable_relay;
+    uint32_t fitness; /* share of a core, in thousandths */
+    uint32_t members; /* gateways that are linked to it */
+    bool leaving;     /* it should not be a relay */
 } RlPeer;
 
 /* PEERS[WHICH] should link to the relay at ADDRESS. */
--- a/tests/script_rl.c
+++ b/tests/script_rl.c
@@ -27,7 +27,7 @@
     for (int i = 5; i < count; i++) {
         p.leaving = p.leaving || strcmp(words[i], "leaving") == 0;
         if (strcmp(words[i], "unreachable") == 0 && i + 1 < count) {
-            p.shunned = g_strdup(words[i + 1]);
+            p.unreachable_relay = g_strdup(words[i + 1]);
         }
     }
     g_array_append_val(s->peers, p);
