--- a/src/ut.c
+++ b/src/ut.c
@@ -47,13 +47,14 @@
 /* The longest queue wait accepted, in percent of the request's max_wait_ms,
    is spread over requests from this to 100 more. */
 #define MIN_WAIT_PERCENT 50
-/* An upstream that began an answer here in this time is alive, if busy. */
+/* An upstream counts as alive for this long after the end of a call of this
+   gateway that it answered. */
 #define ALIVE_MS 700
 
 typedef struct {
     char *what; /* "model" or "model/adapter" */
     uint64_t until_ms;
-    uint32_t last_ms;
+    uint32_t last_ms; /* its duration */
 } Absence;
 
 struct Ut {
@@ -68,11 +69,11 @@
     uint32_t reported;
     uint64_t reported_ms;
     /* By the leader's totals (UtTotal). */
-    uint32_t told; /* running for other gateways */
+    uint32_t others_running; /* for other gateways */
     uint32_t fleet_wait_ms;
     uint32_t fleet_running; /* for all gateways */
     bool stalled;
-    uint64_t last_answer_ms; /* it last began an answer here; 0: never */
+    uint64_t last_answer_ms; /* end of the last answered call; 0: none */
     uint32_t failures;       /* unreachable or silent in a row */
     uint64_t unreachable_ms; /* last failure to reach it; 0: reachable */
     bool probing;            /* a probe is running */
@@ -341,14 +342,14 @@
     return count * (1. - (double)age_ms / REPORT_FADE_MS);
 }
 
-/* Load from other gateways.  Answers carry the load of their upstream, but
-   with many gateways each sees few answers of each upstream; the leader's
-   totals fill the gaps. */
+/* Load from other gateways: the larger of what the last answer of U and the
+   leader's totals show.  With many gateways each sees few answers of each
+   upstream, so the totals fill the gaps. */
 static double
 get_others(const Ut *u, uint64_t now_ms)
 {
     return MAX(fade(u->reported, u->reported_ms, now_ms),
-               fade(u->told, u->set->totals_ms, now_ms));
+               fade(u->others_running, u->set->totals_ms, now_ms));
 }
 
 double
@@ -402,8 +403,8 @@
     return now_ms < s->totals_ms + REPORT_FADE_MS;
 }
 
-/* The leader probes it as well and publishes when it is back; probes of each
-   of hundreds of gateways besides would be too many. */
+/* The leader probes it too and publishes its placement once it is back, so
+   hundreds of gateways must not probe it often besides. */
 static bool
 is_reported_unreachable(const Ut *u, uint64_t now_ms)
 {
@@ -497,7 +498,7 @@
     bool model = false;
     bool all = false;
     bool full = false;
-    bool away = false;
+    bool unreachable = false;
     Ut *least_busy = NULL;
     GHashTableIter it;
     gpointer v;
@@ -524,7 +525,7 @@
             full = true;
         }
         else if (awaits_probe(u, now_ms)) {
-            away = true;
+            unreachable = true;
         }
         else if (q->max_wait_ms && is_wait_too_long(u, now_ms, q)) {
             least_busy = get_less_busy(least_busy, u, now_ms);
@@ -542,12 +543,12 @@
         return UT_BUSY;
     }
     if (from->len == 0) {
-        return !any     ? UT_NONE
-               : !model ? UT_COLD
-               : !all   ? UT_ADAPTER
-               : full   ? UT_FULL
-               : away   ? UT_UNREACHABLE
-                        : UT_TRIED;
+        return !any          ? UT_NONE
+               : !model      ? UT_COLD
+               : !all        ? UT_ADAPTER
+               : full        ? UT_FULL
+               : unreachable ? UT_UNREACHABLE
+                             : UT_TRIED;
     }
     *out = pick(s, from, q)->ut;
     return UT_FOUND;
@@ -687,7 +688,7 @@
 set_total(Ut *u, const UtTotal *t)
 {
     u->fleet_running = t->running;
-    u->told = t->running > u->running ? t->running - u->running : 0;
+    u->others_running = t->running > u->running ? t->running - u->running : 0;
     u->fleet_wait_ms = t->wait_ms;
     u->stalled = t->stalled;
 }
@@ -802,8 +803,8 @@
         return true;
     }
     /* The totals are evidence only if other gateways have requests there. */
-    return u->told > 0 && hears_leader(u->set, now_ms) && !u->stalled &&
-           !u->reported_unreachable_ms;
+    return u->others_running > 0 && hears_leader(u->set, now_ms) &&
+           !u->stalled && !u->reported_unreachable_ms;
 }
 
 uint32_t
--- a/src/ut.h
+++ b/src/ut.h
@@ -33,8 +33,8 @@
    first entry after ut_mark_placement_stale. */
 void ut_on_placement(UtSet *s, uint64_t now_ms, const char *id,
                      GPtrArray *models);
-/* The leader reported it unreachable; no placement, and no answer to this
-   gateway, came since. */
+/* The leader reported it as unreachable, and since then has published no
+   placement for it, nor has it answered this gateway. */
 bool ut_is_reported_unreachable(const UtSet *s, const char *id);
 /* The models last published by the leader; NULL: none, or stale. */
 const GPtrArray *ut_get_placement(const UtSet *s, const char *id);
@@ -64,7 +64,7 @@
     UT_COLD,        /* no upstream holds the model */
     UT_ADAPTER,     /* the model is loaded, the adapter is not */
     UT_TRIED,       /* all that could serve were tried */
-    UT_FULL,        /* none is left but some that have just shed a call */
+    UT_FULL,        /* some are left, but have just shed a call */
     UT_UNREACHABLE, /* none that could serve can be reached just now */
     UT_BUSY         /* the queues of all that could serve are too long */
 } UtChoice;
@@ -128,13 +128,15 @@
 const char *ut_get_address(const Ut *u);
 /* It is no longer listed, or it drains. */
 bool ut_is_gone(const Ut *u);
-/* A call of this gateway could not reach it; no answer or placement since. */
+/* A call of this gateway could not reach it, and neither an answer nor a
+   placement has come since. */
 bool ut_is_unreachable(const Ut *u);
 uint32_t ut_get_running(const Ut *u);
 /* Running calls of this gateway plus the known load from others. */
 double ut_get_load(const Ut *u, uint64_t now_ms);
-/* It has begun an answer recently: to any gateway, while the leader's totals
-   are current, else to this one. */
+/* A call of this gateway that it answered ended recently; or the leader's
+   totals are current, and by them it has requests of other gateways and is
+   neither stalled nor unreachable. */
 bool ut_is_alive(const Ut *u, uint64_t now_ms);
 uint32_t ut_count(const UtSet *s);
 bool ut_knows(const UtSet *s, const char *id);
