--- a/src/wl.c
+++ b/src/wl.c
@@ -36,8 +36,8 @@
 /* Part of the allowance that may be owed before nothing more is admitted,
    however low the demand. */
 #define MAX_DEBT_PART 0.4
-/* Part of the bucket that the cost of a single request counts for at most when
-   it is admitted or refused. */
+/* The decision on a request counts its cost as at most this part of the
+   bucket. */
 #define MAX_REQUEST_PART 0.5
 /* Accounts unused for this long are removed. */
 #define IDLE_MS 30000
@@ -47,10 +47,10 @@
 
 /* The counts by which requests are admitted. */
 typedef enum {
-    VIEW_OWN,   /* of this gateway and those that it aggregates for */
-    VIEW_ALONE, /* isolated: the last levels received, while the gateway's own
-                   share lasts; it aggregates for no other */
-    VIEW_TOLD   /* levels published by the aggregator */
+    VIEW_OWN,      /* of this gateway and those that it aggregates for */
+    VIEW_ISOLATED, /* the last levels received, while this gateway's share
+                      lasts; for gateways that aggregate for no other */
+    VIEW_PUBLISHED /* levels published by the aggregator */
 } View;
 
 static const char *const view_names[] = {"own", "alone", "told"};
@@ -66,7 +66,7 @@
     double asked;          /* a second */
     double detached_spent; /* since detached_ms, not reported */
     uint64_t counted_ms;
-    uint64_t detached_ms; /* when it last left VIEW_TOLD; 0: never */
+    uint64_t detached_ms; /* when it last left VIEW_PUBLISHED; 0: never */
     /* last received from the aggregator; a workspace that it did not list has
        a full bucket and no demand */
     double published_level;
@@ -154,9 +154,9 @@
     if (!l->is_root && has_levels &&
         now_ms < l->published_ms + LEVELS_LIFETIME_MS &&
         now_ms >= l->joined_ms + JOIN_DELAY_MS) {
-        return VIEW_TOLD;
+        return VIEW_PUBLISHED;
     }
-    return !l->is_root && has_levels && l->group_size == 1 ? VIEW_ALONE
+    return !l->is_root && has_levels && l->group_size == 1 ? VIEW_ISOLATED
                                                            : VIEW_OWN;
 }
 
@@ -189,7 +189,7 @@
 static void
 reattach(const Wl *l, Account *a)
 {
-    a->view = VIEW_TOLD;
+    a->view = VIEW_PUBLISHED;
     if (a->detached_ms > l->joined_ms) {
         a->unreported_asked += a->asked * SETTLE_MS / 1000.;
         a->unreported_spent += a->detached_spent;
@@ -225,10 +225,10 @@
 count_time(const Wl *l, Account *a, uint64_t now_ms)
 {
     View view = choose_view(l, now_ms);
-    if (a->view == VIEW_TOLD && view != VIEW_TOLD) {
+    if (a->view == VIEW_PUBLISHED && view != VIEW_PUBLISHED) {
         detach(l, a, now_ms);
     }
-    else if (a->view != VIEW_TOLD && view == VIEW_TOLD) {
+    else if (a->view != VIEW_PUBLISHED && view == VIEW_PUBLISHED) {
         reattach(l, a);
     }
     a->view = view;
@@ -285,8 +285,8 @@
     level -= MIN(cost, a->capacity * share * MAX_REQUEST_PART);
     double allowed = a->rate * share + level * 1000. / SETTLE_MS;
     double part = asked > 0 ? MAX(allowed, 0) / asked : NEAR_LIMIT;
-    double lent = share < MIN_SHARE ? 0 : a->capacity - a->burst;
-    bool within = level >= lent * share - a->capacity * ROUNDING;
+    double beyond_burst = share < MIN_SHARE ? 0 : a->capacity - a->burst;
+    bool within = level >= beyond_burst * share - a->capacity * ROUNDING;
     return within ? MAX(part, 1) : part;
 }
 
@@ -308,7 +308,7 @@
         return compute_admitted_part(a, get_share(l), a->level, a->asked,
                                      cost);
     }
-    if (a->view == VIEW_ALONE && a->level <= 0) {
+    if (a->view == VIEW_ISOLATED && a->level <= 0) {
         return 0;
     }
     return compute_admitted_part(a, l->published_share,
@@ -320,13 +320,14 @@
 static double
 get_known_level(const Account *a)
 {
-    return a->view == VIEW_TOLD ? a->published_level : a->level;
+    return a->view == VIEW_PUBLISHED ? a->published_level : a->level;
 }
 
 static uint32_t
 get_retry_ms(Wl *l, const Account *a, double cost)
 {
-    double share = a->view == VIEW_TOLD ? l->published_share : get_share(l);
+    double share =
+        a->view == VIEW_PUBLISHED ? l->published_share : get_share(l);
     double debt = MAX(-get_known_level(a), 0) + cost;
     double wait_ms = debt / (a->rate * share) * 1000;
     return (uint32_t)CLAMP(wait_ms, MIN_RETRY_MS, l->params.window_ms) +
@@ -356,7 +357,7 @@
     a->level -= spent;
     a->asked += asked * 1000. / SETTLE_MS;
     a->spent_since += spent;
-    if (a->view == VIEW_TOLD || is_joining(l)) {
+    if (a->view == VIEW_PUBLISHED || is_joining(l)) {
         a->unreported_spent += spent;
         a->unreported_asked += asked;
     }
@@ -371,7 +372,7 @@
     why->retry_ms = get_retry_ms(l, a, cost);
     why->counts = view_names[a->view];
     why->level = get_known_level(a);
-    why->asked = a->view == VIEW_TOLD ? a->published_asked : a->asked;
+    why->asked = a->view == VIEW_PUBLISHED ? a->published_asked : a->asked;
     why->let_in = get_admitted_part(l, a, now_ms, cost);
     why->told_ms_ago =
         l->published_ms ? (int64_t)(now_ms - l->published_ms) : -1;
@@ -449,7 +450,7 @@
     g_hash_table_iter_init(&it, l->accounts);
     while (l->published_ms > 0 && g_hash_table_iter_next(&it, NULL, &v)) {
         Account *a = v;
-        if (a->view == VIEW_TOLD) {
+        if (a->view == VIEW_PUBLISHED) {
             detach(l, a, now_ms);
         }
         count_time(l, a, now_ms);
@@ -503,7 +504,7 @@
 bool
 wl_publishes(const Wl *l, uint64_t now_ms)
 {
-    return choose_view(l, now_ms) != VIEW_TOLD;
+    return choose_view(l, now_ms) != VIEW_PUBLISHED;
 }
 
 static gboolean
@@ -567,7 +568,7 @@
     g_hash_table_iter_init(&it, l->accounts);
     while (g_hash_table_iter_next(&it, NULL, &v)) {
         Account *a = v;
-        if (a->view == VIEW_TOLD) {
+        if (a->view == VIEW_PUBLISHED) {
             detach(l, a, now_ms);
         }
     }
--- a/tests/script_wl.c
+++ b/tests/script_wl.c
@@ -29,8 +29,8 @@
 #include <stdlib.h>
 
 #define DIRECT_VMS 24
-#define HOP_MS 4    /* least delay of a frame; the greatest is twice as much */
-#define LINK_MS 300 /* to open a link to another VM */
+#define HOP_MS 4 /* minimum delay of a frame; the maximum is twice as long */
+#define LINK_MS 300       /* to open a link to another VM */
 #define FAILOVER_MS 2300  /* from the loss of the leader to the next one */
 #define LEASE_READ_MS 200 /* until a new process has read the lease */
 #define SETTLE_MS 4000    /* of a run before the first request */
