--- a/src/rb.h
+++ b/src/rb.h
@@ -25,8 +25,9 @@
 void rb_destroy(Rb *b);
 /* The settings of ratio and slack changed. */
 void rb_set_allowance(Rb *b, double ratio, double slack);
-/* GATEWAYS are known now.  A decrease takes effect only after RB_MEMORY_MS
-   without a larger number: gateways that are cut off go on spending. */
+/* GATEWAYS: number of gateways known now.  A decrease takes effect only when
+   no number as large as the former was known for RB_MEMORY_MS: gateways that
+   are cut off go on spending. */
 #define RB_MEMORY_MS 30000
 void rb_on_gateways(Rb *b, uint64_t now_ms, uint32_t gateways);
 
