--- a/src/wl.c
+++ b/src/wl.c
@@ -53,6 +53,7 @@
     VIEW_PUBLISHED /* levels published by the aggregator */
 } View;
 
+/* As logged. */
 static const char *const view_names[] = {"own", "alone", "told"};
 
 typedef struct {
--- a/src/wl.h
+++ b/src/wl.h
@@ -58,7 +58,8 @@
 typedef struct {
     uint32_t retry_ms;   /* until the limit has room again, unless other
                             requests use it */
-    const char *counts;  /* counts that decided: "own", "alone" or "told" */
+    const char *counts;  /* by which it was decided: "own", "alone" (isolated)
+                            or "told" (published levels) */
     double level;        /* of the bucket */
     double asked;        /* a second */
     double let_in;       /* fraction of requests of this cost admitted */
