--- a/tests/unit_gateway.c
+++ b/tests/unit_gateway.c
@@ -1463,7 +1463,7 @@
             DmDemand *d = dm_create_demand(true);
             add_uses(d, "u0", 10, 4);
             if (g == 0) {
-                dm_add_began(d, "u0", 1);
+                dm_add_answer_starts(d, "u0", 1);
             }
             apply_demand(&s, g ? "g1" : "g0", d);
         }
@@ -1873,7 +1873,7 @@
     CU_ASSERT_EQUAL(count_cut_off(&s, s.engines[0].state->data_centre), 0);
     CU_ASSERT_EQUAL(count_cut_off(&s, "elsewhere"), ENGINES - 1);
     DmDemand *d = dm_create_demand(true);
-    dm_add_began(d, "u0", 1);
+    dm_add_answer_starts(d, "u0", 1);
     apply_demand(&s, "g", d);
     CU_ASSERT_EQUAL(count_cut_off(&s, s.engines[0].state->data_centre), 1);
     stop_site(&s);
