--- a/src/gn.h
+++ b/src/gn.h
@@ -240,7 +240,9 @@
 void gn_publish_limits(Gateway *g, uint64_t now_ms);
 /* The leader's heartbeat, to a gateway that has just linked. */
 void gn_send_initial_state(Gateway *g, LkPeer *to);
-void gn_send_death(Gateway *g, uint64_t request, const char *upstream,
+/* An upstream broke off while it ran REQUEST.  DOWN: to all linked gateways;
+   else to the VM that we are linked to. */
+void gn_send_break(Gateway *g, uint64_t request, const char *upstream,
                    bool down);
 void gn_on_frame(void *ctx, LkPeer *from, const Gwp__Frame *frame);
 void gn_publish_unreachable(Gateway *g);
--- a/src/gn_lease.c
+++ b/src/gn_lease.c
@@ -25,7 +25,7 @@
 {
     Newest n = {NULL, 0};
     const StRecord *newest = NULL;
-    for (guint i = 0; r->end == ST_OK && i < r->records->len; i++) {
+    for (guint i = 0; r->result == ST_OK && i < r->records->len; i++) {
         const StRecord *x = r->records->pdata[i];
         newest = newest && newest->offset > x->offset ? newest : x;
     }
@@ -44,7 +44,7 @@
 {
     Gateway *g = ctx;
     Newest n = find_newest(r);
-    ls_on_read(g->lease, bg_boot_ms(), r->end, n.value, n.offset, r->tail);
+    ls_on_read(g->lease, bg_boot_ms(), r->result, n.value, n.offset, r->tail);
     g_free(n.value);
 }
 
@@ -57,7 +57,7 @@
 static void
 on_lease_tail(void *ctx, const StReply *r)
 {
-    if (r->end == ST_TRIMMED) {
+    if (r->result == ST_TRIMMED) {
         list_lease(ctx);
         return;
     }
@@ -78,11 +78,11 @@
 /* ---- appending, directly or through linked gateways --------------------- */
 
 static void
-finish_append(Gateway *g, StResult end, uint64_t offset, uint64_t tail)
+finish_append(Gateway *g, StResult result, uint64_t offset, uint64_t tail)
 {
     g->renewal.out = false;
     g_clear_pointer(&g->renewal.value, g_free);
-    ls_on_append(g->lease, bg_boot_ms(), end, offset, tail);
+    ls_on_append(g->lease, bg_boot_ms(), result, offset, tail);
 }
 
 static void
@@ -118,18 +118,18 @@
     Gateway *g = c->g;
     Renewal *r = &g->renewal;
     bool current = r->out && r->id == c->id;
-    bool settled = reply->end == ST_OK || reply->end == ST_CONFLICT;
+    bool settled = reply->result == ST_OK || reply->result == ST_CONFLICT;
     g_free(c);
     g->store_unresponsive = !settled;
     if (!current) {
         return;
     }
     if (settled || !g->is_leader || lk_count_peers(g->links) == 0) {
-        finish_append(g, reply->end, reply->offset, reply->tail);
+        finish_append(g, reply->result, reply->offset, reply->tail);
         return;
     }
     r->own_failed = true;
-    r->own_result = reply->end;
+    r->own_result = reply->result;
     relay_append(g);
 }
 
@@ -198,11 +198,12 @@
 } RelayCtx;
 
 static void
-answer_relay(const RelayCtx *c, StResult end, const Newest *n, uint64_t tail)
+answer_relay(const RelayCtx *c, StResult result, const Newest *n,
+             uint64_t tail)
 {
     Gwp__LeaseAnswer a = GWP__LEASE_ANSWER__INIT;
     a.id = c->id;
-    a.end = end;
+    a.end = result;
     a.offset = n->offset;
     a.tail = tail;
     a.value = n->value ? n->value : (char *)"";
@@ -228,12 +229,12 @@
 on_relay_append(void *ctx, const StReply *r)
 {
     RelayCtx *c = ctx;
-    if (r->end == ST_CONFLICT) {
+    if (r->result == ST_CONFLICT) {
         St *store = c->g->store;
         store->ops->list(store, ST_OWNER, NULL, on_relay_read, c);
         return;
     }
-    if (r->end == ST_OK) {
+    if (r->result == ST_OK) {
         Newest n = {NULL, r->offset};
         answer_relay(c, ST_OK, &n, r->tail);
     }
@@ -256,8 +257,7 @@
 gn_on_lease_changed(void *ctx)
 {
     Gateway *g = ctx;
-    /* Without a known holder the link stays where it is until there is
-       one. */
+    /* Until a leader is known the link stays where it is. */
     const char *address = g->lease ? ls_get_leader_address(g->lease) : NULL;
     gn_set_leader(g, address ? address : g->uplink.leader);
 }
--- a/src/gn_links.c
+++ b/src/gn_links.c
@@ -581,7 +581,7 @@
 }
 
 void
-gn_send_death(Gateway *g, uint64_t request, const char *upstream, bool down)
+gn_send_break(Gateway *g, uint64_t request, const char *upstream, bool down)
 {
     Gwp__Death d = GWP__DEATH__INIT;
     d.request = request;
@@ -598,10 +598,10 @@
 }
 
 static void
-take_death(Gateway *g, const LkPeer *from, const Gwp__Death *d)
+take_break(Gateway *g, const LkPeer *from, const Gwp__Death *d)
 {
-    gw_on_death(g->gw, bg_boot_ms(), d->request, d->upstream);
-    gn_send_death(g, d->request, d->upstream, !from || g->is_leader);
+    gw_on_upstream_break(g->gw, bg_boot_ms(), d->request, d->upstream);
+    gn_send_break(g, d->request, d->upstream, !from || g->is_leader);
 }
 
 /* A frame of the VM that we are linked to. */
@@ -636,7 +636,7 @@
         lk_send_down(g->links, NULL, f);
         break;
     case GWP__FRAME__BODY_DEATH:
-        take_death(g, NULL, f->death);
+        take_break(g, NULL, f->death);
         break;
     case GWP__FRAME__BODY_LEASE_APPEND:
         gn_relay_lease(g, f->lease_append);
@@ -675,7 +675,7 @@
         lk_set_urgent(from, dm_has_waiting(g->demand, lk_get_vm(from)));
         break;
     case GWP__FRAME__BODY_DEATH:
-        take_death(g, from, f->death);
+        take_break(g, from, f->death);
         break;
     case GWP__FRAME__BODY_PLACEMENT_WANTED:
         gn_resend_placement(g, from, f->placement_wanted->upstream);
--- a/src/gw.c
+++ b/src/gw.c
@@ -36,7 +36,7 @@
    not be sent twice: it would be lost if the upstream closed the connection at
    the same moment. */
 #define MAX_IDLE_NO_REPEAT_MS 1500
-#define DEATH_KEEP_MS 120000
+#define BREAK_KEEP_MS 120000
 /* Retry-After of a refusal without a better estimate: about the time until a
    VM or upstream is back. */
 #define RETRY_SOON_MS 200
@@ -139,7 +139,7 @@
 typedef struct {
     GHashTable *upstreams; /* set of ids */
     uint64_t last_ms;
-} Deaths;
+} Breaks;
 
 /* The leader's estimate of when a model is loaded. */
 typedef struct {
@@ -161,11 +161,11 @@
     GQueue early;        /* HtExchange: before the first configuration */
     GQueue reqs;         /* Req */
     GHashTable *arrived; /* model or "model/adapter" -> count */
-    GHashTable *hurried; /* of these: too late if loaded from disk */
-    GHashTable *refused; /* model -> count: the queue was too long */
-    GHashTable *began;   /* upstream -> count of begun answers */
+    GHashTable *arrived_urgent; /* of these: late after a load from disk */
+    GHashTable *refused_busy;   /* model -> count: the queue was too long */
+    GHashTable *begun_answers;  /* upstream -> count */
     GHashTable *wait_estimates; /* model -> WaitEstimate */
-    GHashTable *deaths;         /* digest -> Deaths */
+    GHashTable *breaks;         /* digest -> Breaks */
     Hist *answer_us; /* from a request's arrival to the end of its answer */
     Hist *first_byte_us;     /* ... to its first byte */
     uint64_t leader_ms;      /* last contact with the leader */
@@ -209,7 +209,7 @@
 /* ---- results ------------------------------------------------------------ */
 
 static void
-count_end(const Req *q, const char *outcome, uint64_t now_ms)
+count_outcome(const Req *q, const char *outcome, uint64_t now_ms)
 {
     static const char *const names[][2] = {
         {"answered", "gateway_answered_total"},
@@ -230,7 +230,7 @@
     }
 }
 
-/* Which objectives of its route the answer missed; NULL: none. */
+/* The objectives of its route that the answer missed; NULL: none. */
 static const char *
 describe_lateness(const Req *q)
 {
@@ -270,7 +270,7 @@
     jl_text(l, "late", q->route ? describe_lateness(q) : NULL);
     jl_text(l, "waited_for", q->waited_for);
     jl_end(l);
-    count_end(q, outcome, now_ms);
+    count_outcome(q, outcome, now_ms);
 }
 
 static void
@@ -294,9 +294,9 @@
     g_free(q);
 }
 
-/* The call is over; END updates the state of its upstream. */
+/* The call is over; OUTCOME updates the state of its upstream. */
 static void
-finish_call(Req *q, UtOutcome end)
+finish_call(Req *q, UtOutcome outcome)
 {
     if (!q->ut) {
         return;
@@ -305,18 +305,19 @@
         q->first_ms > q->sent_ms && !q->not_run && q->status / 100 == 2
             ? (uint32_t)(q->first_ms - q->sent_ms)
             : 0;
-    ut_finish(q->gw->upstreams, q->ut, bg_boot_ms(), end, first, &q->query);
+    ut_finish(q->gw->upstreams, q->ut, bg_boot_ms(), outcome, first,
+              &q->query);
     q->ut = NULL;
     q->hc = NULL;
 }
 
 static void
-cancel_call(Req *q, UtOutcome end)
+cancel_call(Req *q, UtOutcome outcome)
 {
     if (q->hc) {
         ht_cancel_call(q->hc);
     }
-    finish_call(q, end);
+    finish_call(q, outcome);
 }
 
 static void
@@ -384,7 +385,7 @@
 give_up(Req *q, uint32_t retry_ms, const char *why)
 {
     if (q->kept_head && !q->streaming) {
-        /* The upstream's own error tells the caller more than a 502. */
+        /* The upstream's own error says more than a 502. */
         HtExchange *x = q->x;
         g_autoptr(GString) head = g_steal_pointer(&q->kept_head);
         g_autoptr(GByteArray) body = g_steal_pointer(&q->kept_body);
@@ -466,7 +467,7 @@
 static void on_call_head(void *ctx, HtCall *call, const HtHead *head);
 static void on_call_data(void *ctx, HtCall *call, const char *data,
                          size_t len);
-static void on_call_end(void *ctx, HtCall *call, HtEnd end);
+static void on_call_end(void *ctx, HtCall *call, HtResult result);
 
 static void
 send_to(Req *q, Ut *ut, uint64_t now_ms)
@@ -604,9 +605,9 @@
         1);
 }
 
-/* Even on the least busy upstream the request can't begin in time.  It may
-   come back when the queue there is short enough; a random part spreads the
-   retries. */
+/* Even on the least busy upstream the request can't begin in time.
+   Retry-After is the time until the queue there is short enough, plus a random
+   part that spreads the retries. */
 static void
 refuse_busy(Req *q, uint64_t now_ms, const Ut *least_busy)
 {
@@ -614,7 +615,7 @@
         ut_get_wait_ms(least_busy, now_ms) - q->query.max_wait_ms;
     uint32_t spread = (uint32_t)bg_pick_random(&q->gw->rng, RETRY_LATER_MS);
     if (q->query.model) {
-        add_count(q->gw->refused, q->query.model);
+        add_count(q->gw->refused_busy, q->query.model);
     }
     give_up(q, RETRY_SOON_MS + over_ms + spread, "too many wait");
 }
@@ -744,7 +745,7 @@
     q->status = head->status;
     q->not_run = head->status == 421 || ht_find_header(head, w->not_run);
     if (q->query.model && !q->not_run) {
-        add_count(q->gw->began, ut_get_id(q->ut));
+        add_count(q->gw->begun_answers, ut_get_id(q->ut));
     }
     GwLoad load;
     if (w->read_load(head, &load)) {
@@ -870,7 +871,7 @@
 static bool
 may_run_again(const Req *q, uint64_t now_ms)
 {
-    const Deaths *d = g_hash_table_lookup(q->gw->deaths, &q->digest);
+    const Breaks *d = g_hash_table_lookup(q->gw->breaks, &q->digest);
     return may_repeat(q) && q->runs < q->route->attempts &&
            now_ms + 20 < q->answer_by_ms &&
            !(d && g_hash_table_size(d->upstreams) > 1);
@@ -912,7 +913,7 @@
 }
 
 static void
-handle_failure(Req *q, UtOutcome end, const char *why)
+handle_failure(Req *q, UtOutcome outcome, const char *why)
 {
     uint64_t now_ms = bg_boot_ms();
     Ut *ut = q->ut;
@@ -926,7 +927,7 @@
     jl_number(l, "last_event", q->last_event);
     jl_end(l);
     g_ptr_array_add(q->tried, ut);
-    finish_call(q, end);
+    finish_call(q, outcome);
     if (!may_run_again(q, now_ms)) {
         give_up(q, 0, why);
         return;
@@ -934,8 +935,9 @@
     try_send(q);
 }
 
-/* The upstream answered 5xx.  A request that may run again is sent to another;
-   the answer is kept in case that brings nothing better. */
+/* The upstream answered 5xx.  A request that may run again is sent to another
+   upstream.  The answer is kept, and forwarded if no other upstream answers.
+ */
 static void
 handle_error_status(Req *q)
 {
@@ -961,13 +963,13 @@
 }
 
 static void
-on_call_end(void *ctx, HtCall *call, HtEnd end)
+on_call_end(void *ctx, HtCall *call, HtResult result)
 {
     (void)call;
     Req *q = ctx;
     uint64_t now_ms = bg_boot_ms();
     q->hc = NULL;
-    if (end == HT_NOT_SENT) {
+    if (result == HT_NOT_SENT) {
         g_ptr_array_add(q->tried, q->ut);
         if (!ut_is_unreachable(q->ut)) {
             q->gw->out.upstream_unreachable(q->gw->out.ctx, ut_get_id(q->ut));
@@ -978,28 +980,28 @@
         try_send(q);
         return;
     }
-    if (end == HT_DONE && q->not_run) {
+    if (result == HT_DONE && q->not_run) {
         handle_not_run(q, now_ms);
     }
-    else if (end == HT_DONE && q->forwards_events) {
+    else if (result == HT_DONE && q->forwards_events) {
         q->runs++;
         finish_stream(q);
     }
-    else if (end == HT_DONE && q->streaming) {
+    else if (result == HT_DONE && q->streaming) {
         /* The resumption was not answered with a stream. */
         handle_failure(q, UT_OUTCOME_FAILED, "resumption refused");
     }
-    else if (end == HT_DONE && q->status >= 500) {
+    else if (result == HT_DONE && q->status >= 500) {
         handle_error_status(q);
     }
-    else if (end == HT_DONE) {
+    else if (result == HT_DONE) {
         q->runs++;
         forward_answer(q);
     }
     else {
-        q->gw->out.upstream_died(q->gw->out.ctx, q->digest, ut_get_id(q->ut));
+        q->gw->out.upstream_broke(q->gw->out.ctx, q->digest, ut_get_id(q->ut));
         handle_failure(q, UT_OUTCOME_FAILED,
-                       end == HT_GARBLED ? "garbled" : "broken off");
+                       result == HT_GARBLED ? "garbled" : "broken off");
     }
 }
 
@@ -1083,7 +1085,7 @@
     const DepModel *m =
         s ? g_hash_table_lookup(s->models, q->query.model) : NULL;
     if (m && q->route->objective_ms < (m->disk_ms ? m->disk_ms : m->load_ms)) {
-        add_count(q->gw->hurried, key);
+        add_count(q->gw->arrived_urgent, key);
     }
 }
 
@@ -1115,10 +1117,10 @@
 }
 
 static bool
-is_poison(const Gw *g, uint64_t digest)
+is_quarantined(const Gw *g, uint64_t digest)
 {
-    const Deaths *d = g_hash_table_lookup(g->deaths, &digest);
-    return d && g_hash_table_size(d->upstreams) >= g->params.death_limit;
+    const Breaks *d = g_hash_table_lookup(g->breaks, &digest);
+    return d && g_hash_table_size(d->upstreams) >= g->params.break_limit;
 }
 
 static void
@@ -1255,7 +1257,7 @@
         return;
     }
     note_arrival(q);
-    if (is_poison(g, q->digest)) {
+    if (is_quarantined(g, q->digest)) {
         answer(q, 503, RETRY_LATER_MS * 10,
                "upstreams broke off while running it");
         return;
@@ -1450,32 +1452,33 @@
 }
 
 static void
-free_deaths(void *p)
+free_breaks(void *p)
 {
-    Deaths *d = p;
+    Breaks *d = p;
     g_hash_table_destroy(d->upstreams);
     g_free(d);
 }
 
 static gboolean
-is_old_death(gpointer key, gpointer value, gpointer now_ms)
+is_old_break(gpointer key, gpointer value, gpointer now_ms)
 {
     (void)key;
-    return ((Deaths *)value)->last_ms + DEATH_KEEP_MS < *(uint64_t *)now_ms;
+    return ((Breaks *)value)->last_ms + BREAK_KEEP_MS < *(uint64_t *)now_ms;
 }
 
 void
-gw_on_death(Gw *g, uint64_t now_ms, uint64_t request, const char *upstream)
+gw_on_upstream_break(Gw *g, uint64_t now_ms, uint64_t request,
+                     const char *upstream)
 {
-    g_hash_table_foreach_remove(g->deaths, is_old_death, &now_ms);
-    Deaths *d = g_hash_table_lookup(g->deaths, &request);
+    g_hash_table_foreach_remove(g->breaks, is_old_break, &now_ms);
+    Breaks *d = g_hash_table_lookup(g->breaks, &request);
     if (!d) {
-        d = g_new0(Deaths, 1);
+        d = g_new0(Breaks, 1);
         d->upstreams =
             g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
         gint64 *key = g_new(gint64, 1);
         *key = (gint64)request;
-        g_hash_table_insert(g->deaths, key, d);
+        g_hash_table_insert(g->breaks, key, d);
     }
     d->last_ms = now_ms;
     g_hash_table_add(d->upstreams, g_strdup(upstream));
@@ -1487,19 +1490,19 @@
 typedef struct {
     uint64_t now_ms;
     DmDemand *demand;
-    GHashTable *wants; /* model or "model/adapter" -> DmModelDemand */
-    GHashTable *uses;  /* "upstream model" or "upstream model/adapter" -> DmUse
-                        */
+    GHashTable *models; /* model or "model/adapter" -> DmModelDemand */
+    GHashTable *uses; /* "upstream model" or "upstream model/adapter" -> DmUse
+                       */
 } Collection;
 
 static DmModelDemand *
-find_want(Collection *c, const char *model, const char *adapter)
+find_demand(Collection *c, const char *model, const char *adapter)
 {
     g_autofree char *key = dep_make_key(model, adapter);
-    DmModelDemand *w = g_hash_table_lookup(c->wants, key);
+    DmModelDemand *w = g_hash_table_lookup(c->models, key);
     if (!w) {
         w = dm_add_model_demand(c->demand, model, adapter);
-        g_hash_table_insert(c->wants, g_steal_pointer(&key), w);
+        g_hash_table_insert(c->models, g_steal_pointer(&key), w);
     }
     return w;
 }
@@ -1535,9 +1538,9 @@
 static void
 collect_request(Collection *c, const Req *q)
 {
-    DmModelDemand *w = find_want(c, q->query.model, NULL);
+    DmModelDemand *w = find_demand(c, q->query.model, NULL);
     DmModelDemand *a = q->query.adapter
-                           ? find_want(c, q->query.model, q->query.adapter)
+                           ? find_demand(c, q->query.model, q->query.adapter)
                            : NULL;
     if (q->ut) {
         DmUse *u = find_use(c, q);
@@ -1562,7 +1565,7 @@
     g_hash_table_iter_init(&it, counts);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         g_auto(GStrv) words = g_strsplit(k, "/", 2);
-        DmModelDemand *w = find_want(c, words[0], words[1]);
+        DmModelDemand *w = find_demand(c, words[0], words[1]);
         G_STRUCT_MEMBER(uint32_t, w, offset) = GPOINTER_TO_UINT(v);
     }
     g_hash_table_remove_all(counts);
@@ -1582,17 +1585,17 @@
         }
     }
     collect_counts(&c, g->arrived, offsetof(DmModelDemand, arrived));
-    collect_counts(&c, g->hurried, offsetof(DmModelDemand, hurried));
-    collect_counts(&c, g->refused, offsetof(DmModelDemand, refused));
+    collect_counts(&c, g->arrived_urgent, offsetof(DmModelDemand, hurried));
+    collect_counts(&c, g->refused_busy, offsetof(DmModelDemand, refused));
     GHashTableIter it;
     gpointer k;
     gpointer v;
-    g_hash_table_iter_init(&it, g->began);
+    g_hash_table_iter_init(&it, g->begun_answers);
     while (g_hash_table_iter_next(&it, &k, &v)) {
         dm_add_began(c.demand, k, GPOINTER_TO_UINT(v));
     }
-    g_hash_table_remove_all(g->began);
-    g_hash_table_destroy(c.wants);
+    g_hash_table_remove_all(g->begun_answers);
+    g_hash_table_destroy(c.models);
     g_hash_table_destroy(c.uses);
     return c.demand;
 }
@@ -1655,13 +1658,16 @@
     g_queue_init(&g->early);
     g_queue_init(&g->reqs);
     g->arrived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g->hurried = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g->refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g->began = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    g->arrived_urgent =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    g->refused_busy =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    g->begun_answers =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g->wait_estimates =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    g->deaths = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
-                                      free_deaths);
+    g->breaks = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free,
+                                      free_breaks);
     bg_seed_random(&g->rng, params->seed);
     return g;
 }
@@ -1678,11 +1684,11 @@
     g_queue_clear(&g->early);
     dep_unref_config(g->config);
     g_hash_table_destroy(g->arrived);
-    g_hash_table_destroy(g->hurried);
-    g_hash_table_destroy(g->refused);
-    g_hash_table_destroy(g->began);
+    g_hash_table_destroy(g->arrived_urgent);
+    g_hash_table_destroy(g->refused_busy);
+    g_hash_table_destroy(g->begun_answers);
     g_hash_table_destroy(g->wait_estimates);
-    g_hash_table_destroy(g->deaths);
+    g_hash_table_destroy(g->breaks);
     hist_destroy(g->answer_us);
     hist_destroy(g->first_byte_us);
     g_free(g);
--- a/src/gw.h
+++ b/src/gw.h
@@ -36,7 +36,7 @@
     const char *not_run;           /* in an answer: the request was not run */
     const char *urgency;           /* 0 (most urgent) to 9 */
     const char *last_event;        /* resume a stream after this event */
-    const char *workspace;         /* tells the upstream who calls */
+    const char *workspace; /* names the calling workspace to the upstream */
     /* The caller's API key; NULL if there is none, or more than one. */
     const char *(*read_key)(const HtHead *head);
     /* Whether only the gateway sets this header: one that a caller sent is not
@@ -49,19 +49,20 @@
 
 typedef struct {
     uint32_t connect_ms;  /* timeout of a connection to an upstream */
-    uint32_t death_limit; /* a request is refused once so many upstreams broke
+    uint32_t break_limit; /* a request is refused once so many upstreams broke
                              off while they ran it */
     uint64_t seed;
 } GwParams;
 
 typedef struct {
     void *ctx;
-    /* A request starts to wait for a model: the demand should be sent to the
-       leader soon. */
+    /* A request starts to wait for a model: send the demand to the leader
+       soon. */
     void (*demand_changed)(void *ctx);
     /* An upstream broke off while it ran the request with this digest. */
-    void (*upstream_died)(void *ctx, uint64_t request, const char *upstream);
-    /* Connecting to an upstream failed that was not known as unreachable. */
+    void (*upstream_broke)(void *ctx, uint64_t request, const char *upstream);
+    /* Connecting failed to an upstream that was not yet known to be
+       unreachable. */
     void (*upstream_unreachable)(void *ctx, const char *upstream);
 } GwOutput;
 
@@ -87,7 +88,7 @@
    again. */
 void gw_on_change(Gw *g);
 void gw_on_tick(Gw *g, uint64_t now_ms);
-/* Last contact with the leader; it sends its first order in GUARD_MS. */
+/* The leader was heard from; it sends no order for another GUARD_MS. */
 void gw_on_leader(Gw *g, uint64_t now_ms, uint32_t guard_ms);
 /* The leader's estimate of when a model will be loaded that no upstream
    holds. */
@@ -95,8 +96,8 @@
                          uint32_t wait_ms);
 /* An upstream broke off while it ran that request, for this or another
    gateway. */
-void gw_on_death(Gw *g, uint64_t now_ms, uint64_t request,
-                 const char *upstream);
+void gw_on_upstream_break(Gw *g, uint64_t now_ms, uint64_t request,
+                          const char *upstream);
 
 /* For HtHandler. */
 void gw_on_request(Gw *g, HtExchange *x);
--- a/src/ht.h
+++ b/src/ht.h
@@ -92,7 +92,7 @@
     HT_NOT_SENT, /* no byte of the request left this process */
     HT_BROKEN,   /* the connection failed after bytes were sent */
     HT_GARBLED   /* the answer is not valid HTTP */
-} HtEnd;
+} HtResult;
 
 typedef struct {
     const char *address; /* IP:PORT */
@@ -113,11 +113,12 @@
     void (*on_head)(void *ctx, HtCall *call, const HtHead *head);
     void (*on_data)(void *ctx, HtCall *call, const char *data, size_t len);
     /* Called exactly once; the call is freed after it. */
-    void (*on_end)(void *ctx, HtCall *call, HtEnd end);
+    void (*on_end)(void *ctx, HtCall *call, HtResult result);
 } HtCallHandler;
 
 HtPool *ht_create_pool(struct ev_loop *loop);
-/* Calls in progress end as HT_BROKEN; their handlers must start no others. */
+/* Calls in progress end as HT_BROKEN, or as HT_NOT_SENT if no byte was sent;
+   their handlers must start no others. */
 void ht_destroy_pool(HtPool *p);
 /* The result always arrives through HANDLER, never before this returns. */
 HtCall *ht_start_call(HtPool *p, const HtRequest *req,
@@ -133,7 +134,7 @@
 
 /* Result of ht_fetch. */
 typedef struct {
-    HtEnd end;
+    HtResult result;
     bool timed_out;
     uint16_t status; /* 0: no answer came */
     const GByteArray *body;
--- a/src/ht_pool.c
+++ b/src/ht_pool.c
@@ -79,16 +79,16 @@
 }
 
 static void
-end_call(Conn *w, HtEnd end)
+end_call(Conn *w, HtResult result)
 {
     HtCall *call = w->call;
     w->call = NULL;
-    call->handler.on_end(call->handler.ctx, call, end);
+    call->handler.on_end(call->handler.ctx, call, result);
     free_call(call);
 }
 
 static void
-fail_conn(Conn *w, HtEnd end)
+fail_conn(Conn *w, HtResult result)
 {
     HtCall *call = w->call;
     w->call = NULL;
@@ -96,7 +96,7 @@
     if (call) {
         call->conn = NULL;
         call->handler.on_end(call->handler.ctx, call,
-                             call->sent == 0 ? HT_NOT_SENT : end);
+                             call->sent == 0 ? HT_NOT_SENT : result);
         free_call(call);
     }
 }
@@ -511,10 +511,10 @@
 } Fetch;
 
 static void
-finish_fetch(Fetch *f, HtEnd end, bool timed_out)
+finish_fetch(Fetch *f, HtResult result, bool timed_out)
 {
     ev_timer_stop(f->loop, &f->timer);
-    HtReply reply = {end, timed_out, f->status, f->body};
+    HtReply reply = {result, timed_out, f->status, f->body};
     f->done(f->ctx, &reply);
     g_byte_array_free(f->body, TRUE);
     g_free(f);
@@ -537,10 +537,10 @@
 }
 
 static void
-on_fetch_end(void *ctx, HtCall *call, HtEnd end)
+on_fetch_end(void *ctx, HtCall *call, HtResult result)
 {
     (void)call;
-    finish_fetch(ctx, end, false);
+    finish_fetch(ctx, result, false);
 }
 
 static void
@@ -549,10 +549,10 @@
     (void)loop;
     (void)events;
     Fetch *f = t->data;
-    HtEnd end = ht_was_sent(f->call) ? HT_BROKEN : HT_NOT_SENT;
+    HtResult result = ht_was_sent(f->call) ? HT_BROKEN : HT_NOT_SENT;
     ht_cancel_call(f->call);
     f->status = 0;
-    finish_fetch(f, end, true);
+    finish_fetch(f, result, true);
 }
 
 void
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -44,7 +44,7 @@
 /* After two missed heartbeats of the leader, ask the store. */
 #define LEADER_QUIET_MS 450
 #define CONNECT_MS 250 /* data centres are 1 to 3 ms apart */
-#define DEATH_LIMIT 3
+#define BREAK_LIMIT 3
 /* From the signal to stop on, new connections come for this long: the load
    balancer probes once a second and takes a VM out after two failures. */
 #define LEAVE_MS 2600
@@ -161,11 +161,11 @@
 }
 
 static void
-on_upstream_died(void *ctx, uint64_t request, const char *upstream)
+on_upstream_broke(void *ctx, uint64_t request, const char *upstream)
 {
     Gateway *g = ctx;
-    gw_on_death(g->gw, bg_boot_ms(), request, upstream);
-    gn_send_death(g, request, upstream, g->is_leader);
+    gw_on_upstream_break(g->gw, bg_boot_ms(), request, upstream);
+    gn_send_break(g, request, upstream, g->is_leader);
     gn_report_suspicion(g, upstream);
 }
 
@@ -534,8 +534,8 @@
                    get_bound(g->settings, "limit_excess"),
                    get_bound(g->settings, "limit_slack"), seed};
     g->limits = wl_create(&wl);
-    GwParams gw = {CONNECT_MS, DEATH_LIMIT, seed};
-    GwOutput gw_out = {g, on_demand_changed, on_upstream_died,
+    GwParams gw = {CONNECT_MS, BREAK_LIMIT, seed};
+    GwOutput gw_out = {g, on_demand_changed, on_upstream_broke,
                        on_upstream_unreachable};
     g->gw = gw_create(&gw, &pf_gw_wire, &gw_out, g->pool, g->upstreams,
                       g->budget, g->limits);
--- a/src/so.h
+++ b/src/so.h
@@ -1,5 +1,5 @@
 /* so: non-blocking TCP sockets for ht and lk.  Addresses are numeric.  The
-   kernel closes a connection whose far end or path is dead. */
+   kernel closes a connection with bytes unacknowledged for 4 s. */
 #ifndef SO_H
 #define SO_H
 
--- a/src/st.c
+++ b/src/st.c
@@ -7,9 +7,9 @@
    don't overload a store in trouble.  Half of it is random, so that they do
    not come back at the same moment. */
 #define FIRST_BACKOFF_MS 80
-/* A watch that was idle, and had no answer for this long, lists anew: that is
-   shorter than all records appended meanwhile, which the store may no longer
-   keep. */
+/* A watch that was idle, and had no answer for this long, lists anew.
+   Reading all records appended meanwhile would take longer, and the store may
+   no longer keep them. */
 #define RELIST_MS 3000
 
 StRecord *
@@ -177,12 +177,12 @@
         return;
     }
     w->call = NULL;
-    if (r->end == ST_TRIMMED) {
+    if (r->result == ST_TRIMMED) {
         begin_listing(w);
         schedule_call(w, 0);
         return;
     }
-    if (r->end != ST_OK) {
+    if (r->result != ST_OK) {
         back_off(w);
         return;
     }
--- a/src/st.h
+++ b/src/st.h
@@ -38,7 +38,7 @@
 } StRecord;
 
 typedef struct {
-    StResult end;
+    StResult result;
     GPtrArray *records; /* StRecord; NULL unless ST_OK of a list or read */
     uint64_t tail;      /* offset of the next record to be appended */
     uint64_t offset;    /* of the appended record */
@@ -103,8 +103,8 @@
                          const StWatchParams *params,
                          const StWatchHandler *handler);
 void st_destroy_watch(StWatch *w);
-/* An idle watch calls nothing: the updates come from another process.  A new
-   watch is idle. */
+/* An idle watch makes no calls, as the updates come from another process.  A
+   new watch is idle. */
 void st_set_idle(StWatch *w, bool idle);
 void st_set_pause(StWatch *w, uint32_t pause_ms);
 /* Default of the longest pause after failed calls. */
