--- a/src/gn.h
+++ b/src/gn.h
@@ -33,7 +33,7 @@
 /* The last append to the lease topic. */
 typedef struct {
     uint64_t id;
-    bool out;        /* not answered yet */
+    bool pending;    /* not answered yet */
     bool relayed;    /* linked gateways were asked to append it as well */
     bool own_failed; /* the store refused our append or did not answer it */
     StResult own_result;
@@ -79,8 +79,8 @@
     GPtrArray *unreachable;  /* char *: upstreams found unreachable, not yet
                                 published */
     GHashTable *published_loads; /* ut_make_key -> UtTotal, as last sent */
-    uint64_t cut_off_ms; /* the leader can't reach half of its upstreams since;
-                            0: it can */
+    uint64_t cut_off_ms; /* more than half of the upstreams are cut off from
+                            the leader since; 0: no */
     uint64_t tick_ms;    /* the last tick */
     UtSet *upstreams;
     Rb *budget;
@@ -98,20 +98,22 @@
     guint next_seed; /* index into the seeds, modulo their number */
     uint64_t config_ms;
     uint64_t start_ms;
-    uint64_t leader_ms;      /* the leader's newest heartbeat was sent;
-                                0: none received */
-    uint32_t fleet;          /* number of gateways, as the leader reported */
-    uint64_t members_ms;     /* our members were last reported up */
-    uint64_t asked_ms;       /* a newer configuration was last requested */
-    bool is_leader;          /* at the last tick */
-    bool was_leader;         /* and no other leader is known since */
+    uint64_t leader_ms;  /* the leader's newest heartbeat was sent;
+                            0: none received */
+    uint32_t fleet;      /* number of gateways, as the leader reported */
+    uint64_t members_ms; /* our members were last reported up */
+    uint64_t config_request_ms; /* a newer configuration was last requested */
+    bool is_leader;             /* at the last tick */
+    bool was_leader; /* it is or was the leader, and no other is known since */
     bool leader_reads_store; /* the leader has current upstream entries */
-    bool informed;           /* it, or a gateway linked to it, has them */
+    bool informed; /* the leader, or a gateway linked to it, has current
+                      upstream entries */
     bool relay_disconnected; /* our relay neither hears the leader nor reads
                                 the store */
-    bool disconnected;       /* nor do we, as reported to our members */
-    bool full_demand_due;    /* the next demand goes out whole, not as a
-                                delta */
+    bool disconnected;    /* we neither hear the leader nor read the store, as
+                             reported to our members */
+    bool full_demand_due; /* the next demand goes out whole, not as a
+                             delta */
     bool store_unresponsive; /* the last append of the lease got no answer */
     bool has_upstreams;      /* received from another gateway */
     ev_timer tick;
@@ -202,7 +204,7 @@
 void gn_take_hello(Gateway *g, LkPeer *from, const Gwp__Hello *hello);
 void gn_take_members(Gateway *g, LkPeer *from, const Gwp__Members *m);
 void gn_take_assign(Gateway *g, const Gwp__Assign *a);
-void gn_take_holder(Gateway *g, const Gwp__Holder *h);
+void gn_take_leader(Gateway *g, const Gwp__Holder *h);
 void gn_on_peer(void *ctx, LkPeer *peer, bool linked);
 void gn_on_link(void *ctx, bool open);
 void gn_on_connect_failed(void *ctx);
@@ -217,7 +219,7 @@
 GHashTable *gn_list_linked_data_centres(Gateway *g);
 /* Gateways that are linked to us, or to a relay that is. */
 uint32_t gn_count_linked(Gateway *g);
-/* Tell our members to look for another relay: this process stops. */
+/* This process stops: order our members to link to the leader. */
 void gn_dismiss_members(Gateway *g);
 /* The leader's frames arrive too late to be used: a link on the way carries
    less than is sent. */
@@ -266,7 +268,7 @@
    heartbeat. */
 void gn_set_placement(Gateway *g, const char *upstream, GPtrArray *models);
 void gn_take_placement(Gateway *g, const Gwp__Placement *p);
-/* Send the changes that were not yet published to all linked gateways. */
+/* Send all linked gateways the changes not yet published. */
 void gn_publish_placements(Gateway *g);
 /* TO found that its copy of UPSTREAM's models differs from ours. */
 void gn_resend_placement(Gateway *g, LkPeer *to, const char *upstream);
--- a/src/gn_demand.c
+++ b/src/gn_demand.c
@@ -136,10 +136,10 @@
 }
 
 static void
-on_mail_reach(void *ctx, bool reached)
+on_mail_reachable(void *ctx, bool reachable)
 {
     (void)ctx;
-    (void)reached;
+    (void)reachable;
 }
 
 void
@@ -160,7 +160,7 @@
     else if (is_leader && !g->mail_watch) {
         StWatchParams mail = {ST_MAILBOX, "mail", 0,
                               MAIL_SHORT_READ_INTERVAL_MS};
-        StWatchHandler on_mail = {g, on_mail_records, on_mail_reach};
+        StWatchHandler on_mail = {g, on_mail_records, on_mail_reachable};
         g->mail_watch = st_create_watch(g->loop, g->store, &mail, &on_mail);
         st_set_idle(g->mail_watch, false);
     }
@@ -170,7 +170,7 @@
 on_mail_appended(void *ctx, const StReply *reply)
 {
     (void)ctx;
-    (void)reply; /* a lost message is followed by the next */
+    (void)reply; /* the next message replaces a lost one */
 }
 
 static void
@@ -189,8 +189,8 @@
 
 /* Lists of a frame, freed together.  Their texts belong to the demand. */
 typedef struct {
-    Gwp__Want *wants;
-    Gwp__Want **want_refs;
+    Gwp__Want *model_demands;
+    Gwp__Want **model_demand_refs;
     Gwp__Use *uses;
     Gwp__Use **use_refs;
     Gwp__Began *began;
@@ -200,13 +200,13 @@
 } DemandLists;
 
 static void
-list_wants(DemandLists *l, const GPtrArray *wants)
+list_model_demands(DemandLists *l, const GPtrArray *models)
 {
-    l->wants = g_new0(Gwp__Want, wants->len + 1);
-    l->want_refs = g_new0(Gwp__Want *, wants->len + 1);
-    for (guint i = 0; i < wants->len; i++) {
-        const DmModelDemand *x = wants->pdata[i];
-        Gwp__Want *w = &l->wants[i];
+    l->model_demands = g_new0(Gwp__Want, models->len + 1);
+    l->model_demand_refs = g_new0(Gwp__Want *, models->len + 1);
+    for (guint i = 0; i < models->len; i++) {
+        const DmModelDemand *x = models->pdata[i];
+        Gwp__Want *w = &l->model_demands[i];
         gwp__want__init(w);
         w->model = x->model;
         w->adapter = x->adapter ? x->adapter : (char *)"";
@@ -215,7 +215,7 @@
         w->arrived = x->arrived;
         w->refused = x->refused;
         w->hurried = x->hurried;
-        l->want_refs[i] = w;
+        l->model_demand_refs[i] = w;
     }
 }
 
@@ -275,8 +275,8 @@
 static void
 clear_lists(DemandLists *l)
 {
-    g_free(l->wants);
-    g_free(l->want_refs);
+    g_free(l->model_demands);
+    g_free(l->model_demand_refs);
     g_free(l->uses);
     g_free(l->use_refs);
     g_free(l->began);
@@ -285,19 +285,19 @@
     g_free(l->spent_refs);
 }
 
-/* Over the link, or to the mailbox when it is not open. */
+/* Sends DEMAND over the link, or to the mailbox if the link is not open. */
 static void
 send_demand_up(Gateway *g, const DmDemand *demand)
 {
     DemandLists lists;
-    list_wants(&lists, demand->wants);
+    list_model_demands(&lists, demand->wants);
     list_uses(&lists, demand->uses);
     list_began(&lists, demand->began);
     list_spent(&lists, g->limits);
     Gwp__Demand d = GWP__DEMAND__INIT;
     d.whole = demand->whole;
     d.n_wants = demand->wants->len;
-    d.wants = lists.want_refs;
+    d.wants = lists.model_demand_refs;
     d.n_uses = demand->uses->len;
     d.uses = lists.use_refs;
     d.n_began = demand->began->len;
--- a/src/gn_lease.c
+++ b/src/gn_lease.c
@@ -9,7 +9,8 @@
    so at most one of them succeeds.  The lease counts from the moment at which
    the first was begun. */
 #define RELAY_AFTER_MS 150
-/* For their answers; then the result of our own append counts. */
+/* If our own append failed, and none of theirs succeeded within this time, the
+   failure is reported to ls. */
 #define RELAY_WAIT_MS 500
 #define RELAYS 2 /* one of them may be cut off from the store as well */
 
@@ -80,7 +81,7 @@
 static void
 finish_append(Gateway *g, StResult result, uint64_t offset, uint64_t tail)
 {
-    g->renewal.out = false;
+    g->renewal.pending = false;
     g_clear_pointer(&g->renewal.value, g_free);
     ls_on_append(g->lease, bg_boot_ms(), result, offset, tail);
 }
@@ -117,7 +118,7 @@
     AppendCtx *c = ctx;
     Gateway *g = c->g;
     Renewal *r = &g->renewal;
-    bool current = r->out && r->id == c->id;
+    bool current = r->pending && r->id == c->id;
     bool settled = reply->result == ST_OK || reply->result == ST_CONFLICT;
     g_free(c);
     g->store_unresponsive = !settled;
@@ -141,7 +142,7 @@
     uint64_t id = r->id + 1;
     g_free(r->value);
     *r = (Renewal){.id = id,
-                   .out = true,
+                   .pending = true,
                    .at = at,
                    .value = g_strdup(value),
                    .sent_ms = bg_boot_ms()};
@@ -159,7 +160,7 @@
 gn_tick_lease(Gateway *g, uint64_t now_ms)
 {
     Renewal *r = &g->renewal;
-    if (!r->out) {
+    if (!r->pending) {
         return;
     }
     if (now_ms >= r->sent_ms + RELAY_AFTER_MS) {
@@ -174,7 +175,7 @@
 gn_take_lease_answer(Gateway *g, const Gwp__LeaseAnswer *a)
 {
     const Renewal *r = &g->renewal;
-    if (!r->out || r->id != a->id) {
+    if (!r->pending || r->id != a->id) {
         return;
     }
     if (a->end == ST_OK) {
--- a/src/gn_links.c
+++ b/src/gn_links.c
@@ -645,7 +645,7 @@
         gn_take_assign(g, f->assign);
         break;
     case GWP__FRAME__BODY_HOLDER:
-        gn_take_holder(g, f->holder);
+        gn_take_leader(g, f->holder);
         break;
     case GWP__FRAME__BODY_CONFIG_WANTED:
         if (g->config_bytes) {
--- a/src/gn_place.c
+++ b/src/gn_place.c
@@ -8,8 +8,8 @@
 
 /* ---- placement ---------------------------------------------------------- */
 
-/* While only part of the upstreams is known, models that the others hold would
-   be loaded again. */
+/* Not while only part of the upstreams is known: models that the others hold
+   would be loaded again. */
 bool
 gn_may_order(const Gateway *g, uint64_t now_ms)
 {
@@ -50,7 +50,7 @@
 } OrderCtx;
 
 static void
-on_order_end(void *ctx, MpOrderResult end, uint16_t status)
+on_order_result(void *ctx, MpOrderResult result, uint16_t status)
 {
     OrderCtx *o = ctx;
     JlLine *l = jl_begin("order-end");
@@ -59,11 +59,11 @@
     jl_text(l, "model", o->model);
     jl_text(l, "adapter", o->adapter);
     jl_number(l, "status", status);
-    jl_number(l, "end", end);
+    jl_number(l, "end", result);
     jl_number(l, "from_store", o->from_store);
     jl_number(l, "sequence", (int64_t)o->sequence);
     jl_end(l);
-    mp_on_order_result(o->g->placement, bg_boot_ms(), o->upstream, end);
+    mp_on_order_result(o->g->placement, bg_boot_ms(), o->upstream, result);
     gn_schedule_placement(o->g);
     g_free(o->upstream);
     g_free(o->model);
@@ -84,13 +84,13 @@
     o->model = g_strdup(order->model);
     o->adapter = g_strdup(order->adapter);
     pf_send_order(g->pool, order, gn_get_text(g, "name"),
-                  ls_get_token(g->lease), on_order_end, o);
+                  ls_get_token(g->lease), on_order_result, o);
 }
 
 typedef struct {
     Gateway *g;
     char *upstream;
-} AskCtx;
+} ReportCtx;
 
 static void
 append_names(GString *out, const GPtrArray *names)
@@ -129,7 +129,7 @@
 static void
 on_report(void *ctx, DepUpstream *report)
 {
-    AskCtx *a = ctx;
+    ReportCtx *a = ctx;
     log_report(a->upstream, report);
     mp_on_report(a->g->placement, bg_boot_ms(), a->upstream, report);
     dep_destroy_upstream(report);
@@ -140,7 +140,7 @@
 void
 gn_request_report(void *ctx, const DepUpstream *of)
 {
-    AskCtx *a = g_new0(AskCtx, 1);
+    ReportCtx *a = g_new0(ReportCtx, 1);
     a->g = ctx;
     a->upstream = g_strdup(of->id);
     pf_fetch_report(a->g->pool, of, on_report, a);
--- a/src/gn_relay.c
+++ b/src/gn_relay.c
@@ -80,7 +80,7 @@
     const Uplink *u = &g->uplink;
     const char *target = g->is_leader ? NULL : u->relay ? u->relay : u->leader;
     if (g_strcmp0(target, gn_get_address(g)) == 0) {
-        target = NULL; /* ours, or of our VM's former process */
+        target = NULL; /* our own, or that of our VM's former process */
     }
     g->was_leader = g->is_leader || (g->was_leader && !target);
     lk_set_target(g->links, target);
@@ -104,7 +104,7 @@
     choose_target(g);
 }
 
-/* Links to the leader itself. */
+/* Links to the leader itself, and counts the relay as unreachable. */
 static void
 leave_relay(Gateway *g)
 {
@@ -115,7 +115,7 @@
 
 /* TO: a linked gateway; NULL: all of them. */
 static void
-send_holder(Gateway *g, LkPeer *to)
+send_leader(Gateway *g, LkPeer *to)
 {
     Gwp__Holder h = GWP__HOLDER__INIT;
     h.address = g->uplink.leader ? g->uplink.leader : (char *)"";
@@ -134,13 +134,13 @@
         g_free(u->leader);
         u->leader = g_strdup(address);
         lag_reset(&u->lag);
-        send_holder(g, NULL);
+        send_leader(g, NULL);
     }
     choose_target(g);
 }
 
 void
-gn_take_holder(Gateway *g, const Gwp__Holder *h)
+gn_take_leader(Gateway *g, const Gwp__Holder *h)
 {
     g->relay_disconnected = h->blind;
     gn_set_leader(g, *h->address ? h->address : NULL);
@@ -155,7 +155,7 @@
         !gn_hears_leader(g, now_ms) && !gn_reads_store(g, now_ms);
     if (g->disconnected != disconnected) {
         g->disconnected = disconnected;
-        send_holder(g, NULL);
+        send_leader(g, NULL);
     }
 }
 
@@ -292,7 +292,7 @@
     lk_set_user(from, p);
     gn_note_member(g, hello->vm);
     g->members_ms = 0;
-    send_holder(g, from);
+    send_leader(g, from);
     gn_send_initial_state(g, from);
     /* Beyond DIRECT links the leader may assign it to a relay first, see
        send_due_snapshot. */
@@ -438,8 +438,9 @@
 {
     Newest n = {g->config ? g->config->version : 0, NULL};
     lk_visit_peers(g->links, note_version, &n);
-    if (n.peer && now_ms >= g->asked_ms + CONFIG_REQUEST_INTERVAL_MS) {
-        g->asked_ms = now_ms;
+    if (n.peer &&
+        now_ms >= g->config_request_ms + CONFIG_REQUEST_INTERVAL_MS) {
+        g->config_request_ms = now_ms;
         gn_request_config(g, n.peer);
     }
 }
--- a/src/gn_store.c
+++ b/src/gn_store.c
@@ -268,25 +268,25 @@
 }
 
 static void
-log_reach(const char *what, bool reached)
+log_reachable(const char *what, bool reachable)
 {
-    JlLine *l = jl_begin(reached ? "store-reached" : "store-lost");
+    JlLine *l = jl_begin(reachable ? "store-reached" : "store-lost");
     jl_text(l, "topic", what);
     jl_end(l);
 }
 
 static void
-on_config_reach(void *ctx, bool reached)
+on_config_reachable(void *ctx, bool reachable)
 {
     (void)ctx;
-    log_reach("config", reached);
+    log_reachable("config", reachable);
 }
 
 static void
-on_upstream_reach(void *ctx, bool reached)
+on_upstream_reachable(void *ctx, bool reachable)
 {
     (void)ctx;
-    log_reach("upstreams", reached);
+    log_reachable("upstreams", reachable);
 }
 
 /* ---- how often the store is read ----------------------------------------
@@ -351,8 +351,9 @@
     st_set_max_backoff(g->upstream_watch, backoff_ms);
 }
 
-/* If we lack VERSION, our own read should have returned it by now; one that
-   has been out for long is given up with its connection. */
+/* If we lack VERSION, the pending read of the configuration should return it.
+   A read that is still pending after SLOW_CALL_MS is dropped with its
+   connection. */
 void
 gn_on_config_version(Gateway *g, uint64_t now_ms, uint64_t version)
 {
@@ -382,10 +383,10 @@
     g->store = pf_create_store(g->pool, gn_get_text(g, "store"));
     StWatchParams config = {ST_CONFIG, "config", CONFIG_WAIT_MS,
                             CONFIG_PAUSE_MS};
-    StWatchHandler on_config = {g, on_config_records, on_config_reach};
+    StWatchHandler on_config = {g, on_config_records, on_config_reachable};
     g->config_watch = st_create_watch(g->loop, g->store, &config, &on_config);
     StWatchParams ups = {ST_UPSTREAMS, "upstreams", 0, UPSTREAM_PAUSE_MS};
-    StWatchHandler on_ups = {g, on_upstream_records, on_upstream_reach};
+    StWatchHandler on_ups = {g, on_upstream_records, on_upstream_reachable};
     g->upstream_watch = st_create_watch(g->loop, g->store, &ups, &on_ups);
     g->start_ms = bg_boot_ms();
     g->uplink.lost_ms = g->start_ms;
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -41,16 +41,16 @@
    the smallest for SMALL_CLAIM_MS. */
 #define LARGE_CPU_SHARE 0.5
 #define SMALL_CLAIM_MS 400
-/* After two missed heartbeats of the leader, ask the store. */
+/* After two missed heartbeats of the leader, read the lease in the store. */
 #define LEADER_QUIET_MS 450
 #define CONNECT_MS 250 /* data centres are 1 to 3 ms apart */
 #define BREAK_LIMIT 3
-/* From the signal to stop on, new connections come for this long: the load
+/* After the stop signal new connections still come for this long: the load
    balancer probes once a second and takes a VM out after two failures. */
 #define LEAVE_MS 2600
-/* Before the end of grace_s: open requests are answered CLOSE_MARGIN_MS before
-   it, and the process exits GRACE_MARGIN_MS before it, when the answers have
-   been sent. */
+/* Open requests are answered CLOSE_MARGIN_MS before the end of grace_s.  The
+   process exits GRACE_MARGIN_MS before it, so the answers have time to be
+   sent. */
 #define CLOSE_MARGIN_MS 1000
 #define GRACE_MARGIN_MS 700
 #define SETTINGS_POLL_S 2.
@@ -58,8 +58,9 @@
 /* The leader counts the gateways that share the retry budget.  Until it has
    reported, this many are assumed. */
 #define ASSUMED_GATEWAYS 16
-/* A leader that can't reach more than half of the upstreams for YIELD_AFTER_MS
-   gives up the lease, and doesn't claim it again for YIELD_MS. */
+/* A leader that is cut off from more than half of the upstreams for
+   YIELD_AFTER_MS gives up the lease, and doesn't claim it again for
+   YIELD_MS. */
 #define YIELD_AFTER_MS 1500
 #define YIELD_MS 8000
 
