--- a/src/gw.c
+++ b/src/gw.c
@@ -76,7 +76,8 @@
    without a first byte, or of its gap_ms without a next event. */
 #define SLOW_FIRST_BYTE 0.6
 #define SLOW_PAUSE 0.8
-#define MAX_SENDS 6 /* of one request, including sends that ran nothing */
+#define MAX_SENDS 6     /* of one request, including sends that ran nothing */
+#define MIN_RETRY_MS 20 /* with less time left a request is not sent again */
 
 typedef enum { REQ_WAITING, REQ_SENT } ReqState;
 
@@ -873,7 +874,7 @@
 {
     const Breaks *d = g_hash_table_lookup(q->gw->breaks, &q->digest);
     return may_repeat(q) && q->runs < q->route->attempts &&
-           now_ms + 20 < q->answer_by_ms &&
+           now_ms + MIN_RETRY_MS < q->answer_by_ms &&
            !(d && g_hash_table_size(d->upstreams) > 1);
 }
 
--- a/src/ini.h
+++ b/src/ini.h
@@ -20,7 +20,7 @@
     const char *key;
     IniType type;
     bool required;
-    const char *fallback; /* text form; NULL: none */
+    const char *fallback; /* text form; NULL: the empty text */
     int64_t min;          /* INI_INT and INI_NUMBER */
     int64_t max;
     const char *choices; /* INI_CHOICE: words separated by '|' */
--- a/src/st.c
+++ b/src/st.c
@@ -170,9 +170,9 @@
 static void
 on_reply(void *ctx, const StReply *r)
 {
-    Call *a = ctx;
-    StWatch *w = a->watch;
-    g_free(a);
+    Call *c = ctx;
+    StWatch *w = c->watch;
+    g_free(c);
     if (!w) {
         return;
     }
