--- a/src/gateway.pb-c.h
+++ b/src/gateway.pb-c.h
@@ -431,7 +431,7 @@
    */
   uint32_t store_at_once;
   /*
-   * the most that finished in time; 0: unknown
+   * the most that still finished in time; 0: unknown
    */
   uint32_t store_most;
   /*
@@ -528,7 +528,7 @@
 
 
 /*
- * An upstream's process died while it served a request.
+ * An upstream broke off while it ran a request.
  */
 struct  Gwp__Death
 {
@@ -542,7 +542,7 @@
 
 
 /*
- * A gateway could not connect to an upstream that it had reached before.
+ * A call of a gateway to an upstream broke off or could not connect.
  */
 struct  Gwp__Unreached
 {
@@ -592,7 +592,7 @@
   ProtobufCMessage base;
   uint64_t id;
   /*
-   * StEnd
+   * StResult
    */
   uint32_t end;
   /*
