--- a/src/req.c
+++ b/src/req.c
@@ -718,8 +718,8 @@
                         end: a dead pooled connection would use up the
                         deadline, and a new one is cheap in comparison.  It is
                         closed after use: calls of this kind take none from
-                        the pool, and idle ones would occupy threads of the
-                        engine. */
+                        the pool, and an idle one would hold a thread of the
+                        engine until the engine closes or drops it. */
                      .fresh = !q->stream,
                      .renew = desk_is_silent(q->desk, t->address),
                      .attempt_id = attempt_id,
--- a/src/rt.h
+++ b/src/rt.h
@@ -113,7 +113,7 @@
 void rt_on_death(RtCore *c, uint64_t id, bool quarantined);
 void rt_on_tick(RtCore *c, uint64_t now_ms);
 void rt_on_drain(RtCore *c, uint64_t now_ms);
-/* Whether anyone reported that UPSTREAM is leaving or gone. */
+/* Whether UPSTREAM is leaving, gone or unknown. */
 bool rt_is_leaving(const RtCore *c, const char *upstream);
 
 /* Models that this router has queued requests for, and models it uses; free
