--- a/src/pl.c
+++ b/src/pl.c
@@ -159,8 +159,8 @@
         u->dirty = true;
     }
     note_fencing(u, cfg);
-    /* Leaving is permanent for an id: a list that lags may still show a
-       leaving upstream as live. */
+    /* Leaving is permanent for an id with this address: a list that lags may
+       still show a leaving upstream as live. */
     if ((vm->leaving && !u->leaving) || u->gone) {
         u->dirty = true;
     }
@@ -308,9 +308,9 @@
     if (!owner) {
         return;
     }
-    uint64_t *beat = g_new(uint64_t, 1);
-    *beat = now_ms;
-    g_hash_table_replace(c->owner_heartbeats, g_strdup(node), beat);
+    uint64_t *last_ms = g_new(uint64_t, 1);
+    *last_ms = now_ms;
+    g_hash_table_replace(c->owner_heartbeats, g_strdup(node), last_ms);
 }
 
 /* Whether the standing grant allows L on its upstream. */
@@ -353,8 +353,9 @@
 }
 
 /* The grant is valid on a boot of an upstream that was fenced while the claim
-   was in force.  Only a log read that began after the fence proves that: one
-   that ends more than the longest read time after it. */
+   was in force.  Only a log read that began after the fence proves that.  A
+   read takes less than GRANT_CONFIRM_MS, so one that ends that long after the
+   fence began after it. */
 static void
 confirm_grants(PlCore *c, uint64_t now_ms)
 {
--- a/src/pl.h
+++ b/src/pl.h
@@ -65,7 +65,7 @@
     PL_ACKED,    /* accepted; seq and, for POLL and FENCE, report are set */
     PL_STALE,    /* refused: fencing number too low */
     PL_BUSY,     /* refused for another reason, such as a model in use */
-    PL_NOT_SENT, /* never reached the upstream, or not the boot it is for */
+    PL_NOT_SENT, /* never reached the upstream, or it runs another boot */
     PL_UNKNOWN   /* no answer: the order may have been carried out, or may
                     still be at any later time */
 } PlOrderOutcome;
--- a/src/pl_int.h
+++ b/src/pl_int.h
@@ -115,7 +115,7 @@
     uint64_t fenced_to;    /* highest number it acknowledged in this boot */
     uint64_t ack_seq;      /* reports above it reflect all answered orders */
     GHashTable *residents; /* model -> Resident */
-    GHashTable *tiers;     /* model -> GINT: 1 disk, 2 memory */
+    GHashTable *tiers;     /* model -> int: 1 disk, 2 memory */
     GHashTable *loads;     /* model -> Load */
     bool engine;           /* accepts orders; other services are only polled */
     bool fenced;           /* checks fencing numbers */
@@ -199,10 +199,11 @@
 } SettleOutcome;
 
 typedef struct {
-    uint32_t counted; /* loaded, loading or possible */
-    uint32_t usable;  /* of these: loaded or loading, on an upstream that is
-                         reachable and stays */
-    uint32_t coming;  /* loading */
+    uint32_t counted; /* against the ceiling: recorded, not yet recorded, or
+                         possible */
+    uint32_t usable;  /* loaded or to be loaded, on an upstream that is
+                         reachable and not leaving */
+    uint32_t coming;  /* to be loaded: recording, ordering or loading */
     Load *lingering;  /* one that may be loaded again under its record */
 } Replicas;
 
--- a/src/pl_order.c
+++ b/src/pl_order.c
@@ -426,7 +426,8 @@
         l->unknown++;
         break;
     case PL_STALE:
-        u->settled_epoch = 0; /* fence again; refused if succeeded */
+        /* Fence again; the fence is refused if a successor has fenced. */
+        u->settled_epoch = 0;
         break;
     case PL_BUSY:
         l->next_try_ms = now_ms + REFUSED_RETRY_MS;
--- a/src/pl_own.c
+++ b/src/pl_own.c
@@ -11,12 +11,12 @@
 static bool
 is_claim_respected(const PlCore *c, const char *node, uint64_t now_ms)
 {
-    const uint64_t *beat = g_hash_table_lookup(c->owner_heartbeats, node);
+    const uint64_t *last_ms = g_hash_table_lookup(c->owner_heartbeats, node);
     uint64_t since_ms = MAX(c->claim_seen_ms, c->log_changed_ms);
     if (now_ms - since_ms < c->claim_grace_ms) {
         return true;
     }
-    return beat && now_ms - *beat < c->params.lease_ms;
+    return last_ms && now_ms - *last_ms < c->params.lease_ms;
 }
 
 /* Claim the data centre if it has no claim, or if the holder has handed over
