--- a/src/req.c
+++ b/src/req.c
@@ -636,8 +636,8 @@
 }
 
 /* Whether the upstream's process died: a new connection is refused.  Repeated
-   while it breaks without an answer, as a dying process accepts connections
-   until its last socket is closed. */
+   while new connections break without an answer, as a dying process accepts
+   connections until its last socket is closed. */
 static bool
 has_process_died(const Desk *d, HcClient *c, const char *address)
 {
@@ -685,7 +685,8 @@
         bg_count("router_broken_attempts_total", 1);
         bg_log(BG_WARN, "req", "Request %s failed at %s: %s, status %ld%s.",
                q->caller_id, t->upstream, hc_end_name(a->res.end),
-               a->res.status, a->res.crossed ? ", crossed" : "");
+               a->res.status,
+               a->res.crossed ? ", answer to another call" : "");
     }
 }
 
@@ -898,7 +899,8 @@
 {
     Attempt a = {0};
     run_attempt(q, t, &a);
-    /* The result is queued for the log before the caller gets it. */
+    /* The core thread, which records the result in the log, gets it before the
+       caller does. */
     post_done(q, &a);
     bool over = true;
     if (a.result.outcome == RT_OUTCOME_OK) {
