--- a/src/cfg.h
+++ b/src/cfg.h
@@ -29,7 +29,9 @@
     uint32_t load_ms;  /* assumed until a cold load was measured */
     uint32_t wait_ms;  /* timeout of a request as a whole */
     CfgClass class_;
-    double cold_second_cost; /* as its template has it */
+    /* The template's costs of a second of a cold load, and of an hour in which
+       a replica is idle. */
+    double cold_second_cost;
     double idle_hour_cost;
     char *template_name;
 } CfgModel;
--- a/src/desk.c
+++ b/src/desk.c
@@ -19,9 +19,9 @@
 struct Desk {
     Node *node;
     /* Core thread only. */
-    GHashTable *tickets;      /* id -> Waiting */
+    GHashTable *tickets;      /* id -> RequestState */
     GHashTable *claiming;     /* id -> DeskEvent whose claim is pending */
-    GHashTable *reservations; /* id -> Hold */
+    GHashTable *reservations; /* id -> Reservation */
     Lim *lim;
     OnceCore *once;
     QrCore *quarantine;
--- a/src/desk.h
+++ b/src/desk.h
@@ -1,9 +1,9 @@
 /* desk: connects the request threads and the core thread of a router.
 
-   A request thread posts events and waits on its Ticket for decisions.  The
-   core thread passes a new request through the limits of its workspace, the
-   claim of its key if it is non-idempotent, and the quarantine, to the
-   routing core (rt), and returns the decisions of these cores.  The desk also
+   A request thread posts events and waits on its Ticket for decisions.  For
+   a new request the core thread checks the limits of its workspace, claims its
+   key if it is non-idempotent, checks the quarantine and then passes it to the
+   routing core (rt).  It returns the decisions of these cores.  The desk also
    keeps what the request threads share: their number by class, pooled
    connections, and addresses with silent connections. */
 #ifndef DESK_H
--- a/src/feed.c
+++ b/src/feed.c
@@ -102,7 +102,7 @@
 
     CkptCollector *scan;
     uint64_t scan_from;  /* next offset to scan */
-    uint64_t scan_start; /* first and last + 1 of the scan */
+    uint64_t scan_start; /* the scan covers scan_start .. scan_end - 1 */
     uint64_t scan_end;
     uint64_t scan_window; /* entries to scan, back from the log's end */
     uint64_t rescan_ms;   /* when to scan again */
@@ -121,7 +121,7 @@
     uint64_t bad_offset;     /* last entry read that did not decode */
     uint64_t bad_digest;     /* of its bytes */
     uint64_t reset_since_ms; /* since when the log ends below our offset */
-    bool was_reset;          /* it did for RESET_CONFIRM_MS */
+    bool was_reset;          /* set once it has for RESET_CONFIRM_MS */
 
     uint64_t checkpoint_covered; /* offset of the newest checkpoint */
     uint64_t checkpoint_ms;      /* when it was first seen */
--- a/src/feed.h
+++ b/src/feed.h
@@ -25,8 +25,9 @@
     const char *data_centre;
     const char *role;
     uint32_t readers_per_centre; /* placers that read the log directly */
-    uint32_t relay_wait_ms;      /* without a peer to follow, or behind one:
-                                    timeout before the log is read directly */
+    uint32_t relay_wait_ms;      /* the log is read directly after this time
+                                    without a peer to follow, or behind a live
+                                    peer */
     uint32_t
         checkpoint_entries; /* a checkpoint is due after so many entries */
     uint32_t checkpoint_ms; /* ... or after this time */
--- a/src/fold.h
+++ b/src/fold.h
@@ -116,7 +116,7 @@
 #define FOLD_MAX_GRANTS 16 /* per data centre, not cleared */
 
 /* Standing grant: upstreams on which the owner of an epoch may load without
-   an intent while the log is unreachable, see pl.c. */
+   an intent while the log is unreachable, see pl_own.c. */
 typedef struct {
     uint64_t first_epoch; /* first and last claim with this list */
     uint64_t last_epoch;
--- a/src/keys.h
+++ b/src/keys.h
@@ -2,10 +2,11 @@
    log.  It is part of the fold's state and as deterministic: the same records
    give the same table.
 
-   A key belongs to one workspace.  Keys expire by log time: of the highest
-   wall times that VMs put into their records, the second highest.  So a single
-   VM with a wrong clock can't expire the keys of all others.  With records of
-   only one VM, log time stands still and no key expires. */
+   A key belongs to one workspace.  Keys expire by log time.  For each VM, take
+   the highest wall time in its records: log time is the second highest of
+   these.  So a single VM with a wrong clock can't expire the keys of all
+   others.  With records of only one VM, log time stands still and no key
+   expires. */
 #ifndef KEYS_H
 #define KEYS_H
 
@@ -20,8 +21,8 @@
 #define KEYS_MAX_BODIES_BYTES (32u * 1024 * 1024)
 /* Nightly runs of callers repeat calls within a day. */
 #define KEYS_RETENTION_MS (24ull * 3600 * 1000)
-/* Retention when the table is full: far longer than any call lasts or a paused
-   router is waited for. */
+/* Retention when the table is full: far longer than any call lasts, and than a
+   paused router is waited for. */
 #define KEYS_MIN_RETENTION_MS (3600ull * 1000)
 
 typedef struct {
--- a/src/once.h
+++ b/src/once.h
@@ -21,8 +21,8 @@
 typedef struct {
     const char *author;     /* name of this VM */
     uint32_t claim_wait_ms; /* timeout for the claim's result */
-    uint32_t resend_ms;     /* until a final record not seen in the log is
-                               appended again */
+    uint32_t resend_ms;     /* append a final record again unless seen in the
+                               log by then */
 } OnceParams;
 
 typedef enum {
--- a/src/qr.c
+++ b/src/qr.c
@@ -29,8 +29,8 @@
     QrOutput out;
     const Fold *fold;
     GHashTable *boots; /* upstream -> its last reported boot */
-    GQueue broken;     /* Broken, oldest first */
-    GQueue pending;    /* Pending, oldest first */
+    GQueue broken;     /* BrokenCall, oldest first */
+    GQueue pending;    /* PendingDeath, oldest first */
 };
 
 static void
--- a/src/rt.h
+++ b/src/rt.h
@@ -32,7 +32,7 @@
     RT_REFUSED_LIMIT,     /* a limit of its workspace */
     RT_REFUSED_DRAINING,  /* this router is stopping */
     RT_REFUSED_UPSTREAM,  /* no upstream started it in any attempt */
-    RT_REFUSED_QUARANTINE /* upstreams died while they ran it */
+    RT_REFUSED_QUARANTINE /* upstreams died running equal requests */
 } RtReason;
 
 typedef struct {
--- a/src/up.c
+++ b/src/up.c
@@ -409,7 +409,7 @@
 }
 
 /* In thousandths of a call.  The reported calls of others count less the
-   older the report is, as calls end and others begin. */
+   older the report is, as calls end and new ones begin. */
 static uint64_t
 get_load(const Up *u, uint64_t now_ms)
 {
--- a/src/up.h
+++ b/src/up.h
@@ -62,7 +62,9 @@
 
 /* The upstream to send to now, or NULL.  The own data centre is preferred.
    Within a data centre: with affinity the first by rendezvous hash whose load
-   is within a bound, otherwise the less loaded of two random ones. */
+   is within a bound, otherwise the less loaded of two random ones.  An
+   upstream in slow start competes with the probability of its traffic share;
+   otherwise it is chosen only if there is no other. */
 Up *up_choose(UpSet *s, uint64_t now_ms, const UpQuery *q);
 /* Number of calls that the upstreams that can serve Q take at once, ejected
    ones included; 0: the model is cold. */
