--- a/src/feed.c
+++ b/src/feed.c
@@ -227,7 +227,8 @@
            now_ms - p->heartbeat_ms < PEER_LIVE_MS;
 }
 
-/* The live peer with the highest offset, or NULL. */
+/* The live peer with the highest offset, without those held by a fault, or
+   NULL. */
 static Peer *
 find_highest(const Feed *f, uint64_t now_ms)
 {
--- a/src/keys.h
+++ b/src/keys.h
@@ -29,7 +29,8 @@
     Bg__KeyStep step; /* CLAIM (in progress), RESULT or UNKNOWN */
     char *attempt_id;
     uint8_t request_digest[32];
-    uint64_t expires_wall_ms; /* of the claim; the call may have run then */
+    uint64_t expires_wall_ms; /* of the claim; from then on the call
+                                 counts as one that may have run */
     uint32_t status;
     char *content_type;
     uint8_t *body;
--- a/src/node.c
+++ b/src/node.c
@@ -93,7 +93,7 @@
     char *role;
     Bg__Frame *frame;
     void *role_event;
-    struct CoreCall *dump;
+    struct CoreCall *call; /* DUMP, STATUS */
 } Event;
 
 /* A request of an HTTP thread that waits for the core thread's answer. */
@@ -583,11 +583,11 @@
         role->on_event(role->ctx, now_ms, e->role_event);
         break;
     case EV_DUMP:
-        answer_call(e->dump, make_dump(n));
+        answer_call(e->call, make_dump(n));
         break;
     case EV_STATUS:
         n->status_asked_ms = now_ms;
-        answer_call(e->dump, roster_dump(n->roster, now_ms));
+        answer_call(e->call, roster_dump(n->roster, now_ms));
         break;
     case EV_DRAIN:
         role->on_drain(role->ctx, now_ms);
@@ -652,7 +652,7 @@
 {
     CoreCall call = {PTHREAD_MUTEX_INITIALIZER, PTHREAD_COND_INITIALIZER,
                      NULL};
-    Event e = {.kind = kind, .dump = &call};
+    Event e = {.kind = kind, .call = &call};
     if (!post_event(n, &e)) {
         return send_text(conn, 503, "text/plain", "busy\n");
     }
