--- a/src/node.c
+++ b/src/node.c
@@ -33,11 +33,11 @@
     {"node", "http_threads", INI_INT, false, "64", 4, 4096, NULL,
      "HTTP connections served at once"},
     {"node", "log_level", INI_CHOICE, false, "info", 0, 0,
-     "debug|info|warn|fault", "least level that is logged"},
+     "debug|info|warn|fault", "lowest level that is logged"},
     {"node", "drain_ms", INI_INT, false, "60000", 0, 3600000, NULL,
-     "longest wait for requests in flight at a stop"},
+     "maximum wait for requests in flight at a stop"},
     {"node", "drain_notice_ms", INI_INT, false, "500", 0, 3600000, NULL,
-     "least time from the failing health check to the end of listening"},
+     "minimum time from the failing health check to the end of listening"},
     {"node", "operator_key_sha256", INI_TEXT, false, "", 0, 0, NULL,
      "digest of the key that may ask for a stop over HTTP; empty: nobody"},
     {"log", "address", INI_ADDRESS, true, NULL, 0, 0, NULL,
@@ -47,9 +47,10 @@
     {"log", "max_queue", INI_INT, false, "8192", 16, 1000000, NULL,
      "records waiting to be appended"},
     {"log", "readers_per_centre", INI_INT, false, "2", 1, 1000, NULL,
-     "placers of a data centre that read the log; the rest is fed by them"},
+     "placers of a data centre that read the log and relay it to the others"},
     {"log", "relay_wait_ms", INI_INT, false, "1000", 50, 600000, NULL,
-     "without entries from a peer for so long, the log is read directly"},
+     "time without a peer to follow, or behind one, until the log is read "
+     "directly"},
     {"log", "checkpoint_entries", INI_INT, false, "20000", 1, 100000000, NULL,
      "entries after which a checkpoint is due"},
     {"log", "checkpoint_ms", INI_INT, false, "600000", 100, 2000000000, NULL,
@@ -66,7 +67,7 @@
     {"peers", "heartbeat_ms", INI_INT, false, "200", 10, 60000, NULL,
      "between heartbeats on a link"},
     {"peers", "silence_ms", INI_INT, false, "2000", 50, 600000, NULL,
-     "a link silent for so long is dropped"},
+     "a link on which nothing arrives for this time is dropped"},
     {NULL, NULL, INI_TEXT, false, NULL, 0, 0, NULL, NULL}};
 
 typedef enum {
