--- a/src/req.c
+++ b/src/req.c
@@ -636,8 +636,8 @@
 }
 
 /* Whether the upstream's process died: a new connection is refused.  Repeated
-   while it breaks without an answer, as a dying process accepts connections
-   until its last socket is closed. */
+   while new connections break without an answer, as a dying process accepts
+   connections until its last socket is closed. */
 static bool
 has_process_died(const Desk *d, HcClient *c, const char *address)
 {
@@ -685,7 +685,8 @@
         bg_count("router_broken_attempts_total", 1);
         bg_log(BG_WARN, "req", "Request %s failed at %s: %s, status %ld%s.",
                q->caller_id, t->upstream, hc_end_name(a->res.end),
-               a->res.status, a->res.crossed ? ", crossed" : "");
+               a->res.status,
+               a->res.crossed ? ", answer to another call" : "");
     }
 }
 
@@ -718,8 +719,8 @@
                         end: a dead pooled connection would use up the
                         deadline, and a new one is cheap in comparison.  It is
                         closed after use: calls of this kind take none from
-                        the pool, and idle ones would occupy threads of the
-                        engine. */
+                        the pool, and an idle one would hold a thread of the
+                        engine until the engine closes or drops it. */
                      .fresh = !q->stream,
                      .renew = desk_is_silent(q->desk, t->address),
                      .attempt_id = attempt_id,
@@ -898,7 +899,8 @@
 {
     Attempt a = {0};
     run_attempt(q, t, &a);
-    /* The result is queued for the log before the caller gets it. */
+    /* The core thread, which records the result in the log, gets it before the
+       caller does. */
     post_done(q, &a);
     bool over = true;
     if (a.result.outcome == RT_OUTCOME_OK) {
