--- a/src/bg_base.c
+++ b/src/base.c
@@ -1,4 +1,4 @@
-#include "bg_base.h"
+#include "base.h"
 
 #include <openssl/evp.h>
 #include <pthread.h>
--- a/src/bg_base.h
+++ b/src/base.h
@@ -1,7 +1,7 @@
 /* bg_base: used by all modules: the GError domain, logger, clocks, ids,
    digests, random numbers and counters. */
-#ifndef BG_BASE_H
-#define BG_BASE_H
+#ifndef BASE_H
+#define BASE_H
 
 #include <stdarg.h>
 #include <stdbool.h>
--- a/src/hc.c
+++ b/src/blocking_http.c
@@ -1,4 +1,4 @@
-#include "hc.h"
+#include "blocking_http.h"
 
 #include <curl/curl.h>
 #include <errno.h>
--- a/src/hc.h
+++ b/src/blocking_http.h
@@ -1,10 +1,10 @@
 /* hc: blocking HTTP client calls on the calling thread, with a timeout for
    every phase.  An HcClient has its own connection pool and may be used by
    one thread at a time. */
-#ifndef HC_H
-#define HC_H
+#ifndef BLOCKING_HTTP_H
+#define BLOCKING_HTTP_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef enum {
     HC_DONE,      /* the whole answer was received */
--- a/src/cfg.h
+++ b/src/cfg.h
@@ -8,7 +8,7 @@
 #ifndef CFG_H
 #define CFG_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef enum { CFG_LOOKUP, CFG_INTERACTIVE, CFG_BATCH } CfgClass;
 #define CFG_CLASSES 3
--- a/src/ckpt.c
+++ b/src/ckpt.c
@@ -1,6 +1,6 @@
 #include "ckpt.h"
 
-#include "rec.h"
+#include "log_records.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/ckpt.h
+++ b/src/ckpt.h
@@ -4,7 +4,7 @@
 #ifndef CKPT_H
 #define CKPT_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "fold.h"
 
--- a/src/cli.h
+++ b/src/cli.h
@@ -13,10 +13,10 @@
 #ifndef CLI_H
 #define CLI_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "fold.h"
-#include "lc.h"
+#include "log_client.h"
 
 #include <jansson.h>
 
--- a/src/cli_log.c
+++ b/src/cli_log.c
@@ -3,7 +3,7 @@
 
 #include "ckpt.h"
 #include "ini.h"
-#include "rec.h"
+#include "log_records.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/cli_process.c
+++ b/src/cli_process.c
@@ -1,9 +1,9 @@
 /* Commands that ask a process over HTTP: status, dump and drain. */
 #include "cli.h"
 
-#include "hc.h"
+#include "blocking_http.h"
 #include "ini.h"
-#include "js.h"
+#include "json_parser.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/dm.c
+++ b/src/demand_aggregate.c
@@ -1,4 +1,4 @@
-#include "dm.h"
+#include "demand_aggregate.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/dm.h
+++ b/src/demand_aggregate.h
@@ -12,10 +12,10 @@
 
    Workload: hundreds of gateways with a few requests each, which report
    several times a second with few changes between reports. */
-#ifndef DM_H
-#define DM_H
+#ifndef DEMAND_AGGREGATE_H
+#define DEMAND_AGGREGATE_H
 
-#include "bg_base.h"
+#include "base.h"
 
 /* Demand for one model or adapter.  Waiting and running are levels; the others
    are counts since the last update. */
--- a/src/desk.h
+++ b/src/desk.h
@@ -9,13 +9,13 @@
 #ifndef DESK_H
 #define DESK_H
 
-#include "bg_base.h"
-#include "hc.h"
+#include "base.h"
+#include "blocking_http.h"
 #include "lim.h"
 #include "node.h"
 #include "once.h"
-#include "qr.h"
-#include "rt.h"
+#include "quarantine.h"
+#include "router.h"
 
 #include <pthread.h>
 
--- a/src/fe.c
+++ b/src/engine_simulator.c
@@ -1,6 +1,6 @@
-#include "fe.h"
+#include "engine_simulator.h"
 
-#include "js.h"
+#include "json_parser.h"
 
 #include <civetweb.h>
 #include <pthread.h>
--- a/src/fe.h
+++ b/src/engine_simulator.h
@@ -3,10 +3,10 @@
    engines in the tests: /v1/completions and /v1/chat/completions (streamed or
    not), /control/load, unload, fence, role, report and audit.  The answer is
    a function of the prompt, see fe_make_token. */
-#ifndef FE_H
-#define FE_H
+#ifndef ENGINE_SIMULATOR_H
+#define ENGINE_SIMULATOR_H
 
-#include "bg_base.h"
+#include "base.h"
 
 #define FE_DIGEST_LEN 12
 
--- a/src/fq.c
+++ b/src/fair_queue.c
@@ -1,4 +1,4 @@
-#include "fq.h"
+#include "fair_queue.h"
 
 #include <string.h>
 
--- a/src/fq.h
+++ b/src/fair_queue.h
@@ -2,10 +2,10 @@
    priority start-time fair queueing gives each workspace an equal share by
    cost, so that a workspace with many requests does not delay another with
    few. */
-#ifndef FQ_H
-#define FQ_H
+#ifndef FAIR_QUEUE_H
+#define FAIR_QUEUE_H
 
-#include "bg_base.h"
+#include "base.h"
 
 #define FQ_PRIORITIES 10
 
--- a/src/feed.c
+++ b/src/feed.c
@@ -1,7 +1,7 @@
 #include "feed.h"
 
 #include "ckpt.h"
-#include "rec.h"
+#include "log_records.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/feed.h
+++ b/src/feed.h
@@ -14,10 +14,10 @@
 #ifndef FEED_H
 #define FEED_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "fold.h"
-#include "lc.h"
+#include "log_client.h"
 #include "peer.h"
 
 typedef struct {
--- a/src/fold.c
+++ b/src/fold.c
@@ -1,6 +1,6 @@
-#include "fold_int.h"
+#include "fold_internal.h"
 
-#include "rec.h"
+#include "log_records.h"
 
 #include <jansson.h>
 #include <string.h>
--- a/src/fold.h
+++ b/src/fold.h
@@ -10,7 +10,7 @@
 #ifndef FOLD_H
 #define FOLD_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "cfg.h"
 #include "keys.h"
@@ -116,7 +116,7 @@
 #define FOLD_MAX_GRANTS 16 /* per data centre, not cleared */
 
 /* Standing grant: upstreams on which the owner of an epoch may load without
-   an intent while the log is unreachable, see pl_own.c. */
+   an intent while the log is unreachable, see placer_ownership.c. */
 typedef struct {
     uint64_t first_epoch; /* first and last claim with this list */
     uint64_t last_epoch;
--- a/src/fold_int.h
+++ b/src/fold_internal.h
@@ -1,7 +1,7 @@
 /* fold_int: internals of the fold, shared by fold.c (applies records) and
    snap.c (encodes and decodes the state). */
-#ifndef FOLD_INT_H
-#define FOLD_INT_H
+#ifndef FOLD_INTERNAL_H
+#define FOLD_INTERNAL_H
 
 #include "fold.h"
 
--- a/src/gn.h
+++ b/src/gateway_node.h
@@ -1,34 +1,36 @@
 /* gn: the gateway process.  It connects the decision cores (gw, ut, mp, ls,
    rb, wl) to the store, the upstreams and the other gateways:
-     gn_store      configuration and upstream entries read from the store
-     gn_lease      reads and appends of the lease record
-     gn_place      orders to upstreams and their reports
-     gn_links      frames sent to and received from other gateways
-     gn_demand     demand of callers, aggregated towards the leader
-     gn_placed     changes of what each upstream holds
-     gn_relay      which gateway this one links to; state of linked gateways
-     gn_start      starting while the store is unreachable
-     main_gateway  settings, listeners, timers, signals
+     gateway_node_store    configuration and upstream entries read from the
+                           store
+     gateway_node_lease    reads and appends of the lease record
+     gateway_node_orders   orders to upstreams and their reports
+     gateway_node_links    frames sent to and received from other gateways
+     gateway_node_demand   demand of callers, aggregated towards the leader
+     gateway_node_content  changes of what each upstream holds
+     gateway_node_relay    which gateway this one links to; state of linked
+                           gateways
+     gateway_node_start    starting while the store is unreachable
+     main_gateway          settings, listeners, timers, signals
    The leader is the gateway that holds the lease for placement.  Links form a
    tree with the leader at its root and at most one level of relays.  "Up" is
    towards the leader; the members of a gateway are linked to it.  Everything
    runs on the loop's thread; times are of bg_boot_ms. */
-#ifndef GN_H
-#define GN_H
+#ifndef GATEWAY_NODE_H
+#define GATEWAY_NODE_H
 
-#include "dm.h"
-#include "gw.h"
+#include "demand_aggregate.h"
+#include "gateway_request.h"
 #include "ini.h"
-#include "jl.h"
+#include "json_log.h"
 #include "lag.h"
-#include "lk.h"
-#include "ls.h"
-#include "mp.h"
-#include "rb.h"
-#include "rl.h"
-#include "st.h"
-#include "ut.h"
-#include "wl.h"
+#include "lease.h"
+#include "model_placement.h"
+#include "relay_plan.h"
+#include "retry_budget.h"
+#include "store.h"
+#include "tcp_links.h"
+#include "upstream_table.h"
+#include "workspace_limits.h"
 
 /* The last append to the lease topic. */
 typedef struct {
@@ -138,7 +140,7 @@
 /* Where other gateways link to this one. */
 const char *gn_get_address(const Gateway *g);
 
-/* gn_store */
+/* gateway_node_store */
 /* Put C (taken over) in force; WRITTEN is its record in the store. */
 void gn_use_config(Gateway *g, DepConfig *c, GBytes *written);
 void gn_watch_store(Gateway *g);
@@ -159,7 +161,7 @@
 /* Since the configuration in force was last known to be the newest. */
 uint64_t gn_get_config_age_ms(const Gateway *g, uint64_t now_ms);
 
-/* gn_lease */
+/* gateway_node_lease */
 void gn_append_lease(void *ctx, uint64_t at, const char *value);
 void gn_read_lease(void *ctx, uint64_t from);
 void gn_on_lease_changed(void *ctx);
@@ -169,7 +171,7 @@
 /* Append for the VM that we are linked to. */
 void gn_relay_lease(Gateway *g, const Gwp__LeaseAppend *a);
 
-/* gn_place */
+/* gateway_node_orders */
 void gn_on_place_timer(struct ev_loop *loop, ev_timer *t, int events);
 void gn_on_placed(void *ctx, const char *upstream, const GPtrArray *models);
 void gn_on_unreachable(void *ctx, const char *upstream);
@@ -184,7 +186,7 @@
 /* A call to UPSTREAM broke off or could not connect: the leader probes it. */
 void gn_report_suspicion(Gateway *g, const char *upstream);
 
-/* gn_demand */
+/* gateway_node_demand */
 /* True: more callers wait than before. */
 bool gn_take_demand(Gateway *g, const char *from, const Gwp__Demand *d);
 /* Send the demand of callers here and at linked gateways to the leader. */
@@ -199,7 +201,7 @@
 /* Gateways heard from recently, this one included. */
 uint32_t gn_count_members(Gateway *g, uint64_t now_ms);
 
-/* gn_relay */
+/* gateway_node_relay */
 void gn_fill_hello(void *ctx, Gwp__Hello *hello);
 void gn_take_hello(Gateway *g, LkPeer *from, const Gwp__Hello *hello);
 void gn_take_members(Gateway *g, LkPeer *from, const Gwp__Members *m);
@@ -228,7 +230,7 @@
    but still aggregates what its members use and publishes the result. */
 bool gn_still_aggregates(const Gateway *g);
 
-/* gn_links */
+/* gateway_node_links */
 /* Pointers to each of ITEMS, as a repeated field of a frame has them; to be
    freed. */
 gpointer *gn_list_pointers(const GArray *items);
@@ -259,7 +261,7 @@
    all upstreams and loads. */
 void gn_send_snapshot(Gateway *g, LkPeer *to, uint64_t config_version);
 
-/* gn_placed */
+/* gateway_node_content */
 /* DepResident list -> Gwp__Resident list that borrows its names. */
 void gn_fill_residents(const GPtrArray *models, GPtrArray *out);
 GPtrArray *gn_read_residents(size_t n, Gwp__Resident *const *residents);
@@ -273,7 +275,7 @@
 /* TO found that its copy of UPSTREAM's models differs from ours. */
 void gn_resend_placement(Gateway *g, LkPeer *to, const char *upstream);
 
-/* gn_start */
+/* gateway_node_start */
 /* Ask another gateway for a link if the store does not answer a starting
    process. */
 void gn_tick_start(Gateway *g, uint64_t now_ms);
--- a/src/gn_placed.c
+++ b/src/gateway_node_content.c
@@ -2,7 +2,7 @@
    carries the whole new state of its model, so receiving it twice does no
    harm.  A digest of all models of the upstream shows a gateway that it missed
    a change; it then requests all of them. */
-#include "gn.h"
+#include "gateway_node.h"
 
 #include <string.h>
 
--- a/src/gn_demand.c
+++ b/src/gateway_node_demand.c
@@ -1,4 +1,4 @@
-#include "gn.h"
+#include "gateway_node.h"
 
 #define MAIL_INTERVAL_MS 300 /* between messages left in the store */
 /* The leader reads its mailbox in the store, more often while fewer gateways
--- a/src/gn_links.c
+++ b/src/gateway_node_links.c
@@ -1,4 +1,4 @@
-#include "gn.h"
+#include "gateway_node.h"
 
 #include "../platform/pf_wire.h"
 
--- a/src/gn_start.c
+++ b/src/gateway_node_start.c
@@ -2,7 +2,7 @@
    control addresses its settings list (the seeds) where it may link to.  Over
    the link it gets the configuration and the upstreams.  Until it has them
    from there or from the store it refuses all requests (503). */
-#include "gn.h"
+#include "gateway_node.h"
 
 #define STORE_TIMEOUT_MS 400 /* at the start, before a seed is asked */
 #define SEED_INTERVAL_MS 300
--- a/src/gw.c
+++ b/src/gateway_request.c
@@ -1,7 +1,7 @@
-#include "gw.h"
+#include "gateway_request.h"
 
 #include "hist.h"
-#include "jl.h"
+#include "json_log.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/gw.h
+++ b/src/gateway_request.h
@@ -10,16 +10,16 @@
    - The upstream call is cancelled as soon as the caller disconnects.
 
    Not thread-safe: all functions run in the loop thread. */
-#ifndef GW_H
-#define GW_H
+#ifndef GATEWAY_REQUEST_H
+#define GATEWAY_REQUEST_H
 
-#include "bg_base.h"
-#include "dep.h"
-#include "ht.h"
-#include "dm.h"
-#include "rb.h"
-#include "ut.h"
-#include "wl.h"
+#include "base.h"
+#include "gateway_types.h"
+#include "http.h"
+#include "demand_aggregate.h"
+#include "retry_budget.h"
+#include "upstream_table.h"
+#include "workspace_limits.h"
 
 /* Load of an upstream, as reported in the head of an answer. */
 typedef struct {
--- a/src/dep.c
+++ b/src/gateway_types.c
@@ -1,4 +1,4 @@
-#include "dep.h"
+#include "gateway_types.h"
 
 #include <openssl/crypto.h>
 #include <string.h>
--- a/src/dep.h
+++ b/src/gateway_types.h
@@ -8,10 +8,10 @@
    DepCall      what the headers of one request say.
 
    Plain values: no I/O, no clock, no threads. */
-#ifndef DEP_H
-#define DEP_H
+#ifndef GATEWAY_TYPES_H
+#define GATEWAY_TYPES_H
 
-#include "bg_base.h"
+#include "base.h"
 
 /* ---- configuration ------------------------------------------------------ */
 
--- a/src/hist.h
+++ b/src/hist.h
@@ -5,7 +5,7 @@
 #ifndef HIST_H
 #define HIST_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef struct Hist Hist;
 
--- a/src/ht.c
+++ b/src/http.c
@@ -1,4 +1,4 @@
-#include "ht_int.h"
+#include "http_internal.h"
 
 #include <string.h>
 
--- a/src/ht.h
+++ b/src/http.h
@@ -2,10 +2,10 @@
    server passes on requests once they were read whole and sends answers in
    pieces.  The client is a pool of keep-alive connections.  All calls and
    callbacks are on the loop's thread. */
-#ifndef HT_H
-#define HT_H
+#ifndef HTTP_H
+#define HTTP_H
 
-#include "bg_base.h"
+#include "base.h"
 
 #include <ev.h>
 
--- a/src/ht_int.h
+++ b/src/http_internal.h
@@ -1,9 +1,9 @@
 /* ht_int: internal to ht: collects the head of a message from the parser's
    callbacks, for the server and the pool. */
-#ifndef HT_INT_H
-#define HT_INT_H
+#ifndef HTTP_INTERNAL_H
+#define HTTP_INTERNAL_H
 
-#include "ht.h"
+#include "http.h"
 
 #include <http_parser.h>
 
--- a/src/ht_server.c
+++ b/src/http_server.c
@@ -1,5 +1,5 @@
-#include "ht_int.h"
-#include "so.h"
+#include "http_internal.h"
+#include "sockets.h"
 
 #include <errno.h>
 #include <stdio.h>
--- a/src/ini.h
+++ b/src/ini.h
@@ -4,7 +4,7 @@
 #ifndef INI_H
 #define INI_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef enum {
     INI_TEXT,
--- a/src/jl.c
+++ b/src/json_log.c
@@ -1,4 +1,4 @@
-#include "jl.h"
+#include "json_log.h"
 
 #include "ring.h"
 
--- a/src/jl.h
+++ b/src/json_log.h
@@ -2,10 +2,10 @@
    thread takes the lines from a bounded ring, so a reader of the log that
    stalls never blocks the process.  Lines that find the ring full are dropped
    and counted; the count is logged when there is room again. */
-#ifndef JL_H
-#define JL_H
+#ifndef JSON_LOG_H
+#define JSON_LOG_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef struct JlLine JlLine;
 
--- a/src/js.c
+++ b/src/json_parser.c
@@ -1,4 +1,4 @@
-#include "js.h"
+#include "json_parser.h"
 
 /* Max nesting of brackets outside of strings. */
 static int
--- a/src/js.h
+++ b/src/json_parser.h
@@ -1,8 +1,8 @@
 /* js: parses JSON from untrusted sources, with a limit on nesting. */
-#ifndef JS_H
-#define JS_H
+#ifndef JSON_PARSER_H
+#define JSON_PARSER_H
 
-#include "bg_base.h"
+#include "base.h"
 
 #include <jansson.h>
 
--- a/src/keep.h
+++ b/src/keep.h
@@ -4,7 +4,7 @@
 #ifndef KEEP_H
 #define KEEP_H
 
-#include "bg_base.h"
+#include "base.h"
 
 #define KEEP_OCTAVES 22
 #define KEEP_OCTAVE_BUCKETS 4 /* linear buckets per octave */
--- a/src/keys.h
+++ b/src/keys.h
@@ -10,7 +10,7 @@
 #ifndef KEYS_H
 #define KEYS_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 
 /* A longer answer is not kept; its record has answer_dropped. */
--- a/src/lag.h
+++ b/src/lag.h
@@ -12,7 +12,7 @@
 #ifndef LAG_H
 #define LAG_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef struct {
     /* Least difference in this window and in the previous one.  Windows let
--- a/src/ls.c
+++ b/src/lease.c
@@ -1,4 +1,4 @@
-#include "ls.h"
+#include "lease.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/ls.h
+++ b/src/lease.h
@@ -13,11 +13,11 @@
 
    A state machine without threads, I/O or clock; times are of a clock that
    goes on while the VM is suspended (bg_boot_ms). */
-#ifndef LS_H
-#define LS_H
+#ifndef LEASE_H
+#define LEASE_H
 
-#include "bg_base.h"
-#include "st.h"
+#include "base.h"
+#include "store.h"
 
 typedef struct {
     const char *vm;      /* this VM */
--- a/src/lim.h
+++ b/src/lim.h
@@ -14,7 +14,7 @@
 #ifndef LIM_H
 #define LIM_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "cfg.h"
 
--- a/src/ld.c
+++ b/src/load_generator.c
@@ -1,9 +1,9 @@
-#include "ld.h"
+#include "load_generator.h"
 
-#include "fe.h"
-#include "hc.h"
+#include "blocking_http.h"
+#include "engine_simulator.h"
 #include "hist.h"
-#include "js.h"
+#include "json_parser.h"
 #include "ring.h"
 
 #include <math.h>
--- a/src/ld.h
+++ b/src/load_generator.h
@@ -5,10 +5,10 @@
 
    In the open loop durations are measured from the planned arrival, so that a
    slow server can't hide its latency by slowing down the generator. */
-#ifndef LD_H
-#define LD_H
+#ifndef LOAD_GENERATOR_H
+#define LOAD_GENERATOR_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef struct {
     const char *to;       /* IP:PORT, comma-separated; used round-robin */
--- a/src/lc.c
+++ b/src/log_client.c
@@ -1,7 +1,7 @@
-#include "lc.h"
+#include "log_client.h"
 
-#include "hc.h"
-#include "js.h"
+#include "blocking_http.h"
+#include "json_parser.h"
 #include "ring.h"
 
 #include <pthread.h>
--- a/src/lc.h
+++ b/src/log_client.h
@@ -5,11 +5,11 @@
    reads, and an appender that writes queued records in batches.  If an
    acknowledgement is lost, the appender writes the batch again with the same
    id; the fold ignores the second of two batches with one id. */
-#ifndef LC_H
-#define LC_H
+#ifndef LOG_CLIENT_H
+#define LOG_CLIENT_H
 
-#include "bg_base.h"
-#include "rec.h"
+#include "base.h"
+#include "log_records.h"
 
 /* One entry.  The receiver frees data with g_free. */
 typedef struct {
--- a/src/rec.c
+++ b/src/log_records.c
@@ -1,4 +1,4 @@
-#include "rec.h"
+#include "log_records.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/rec.h
+++ b/src/log_records.h
@@ -1,10 +1,10 @@
 /* rec: encoding of records for the log.  A batch is what one append writes: a
    format number, a unique id chosen by the writer, a digest and the
    records. */
-#ifndef REC_H
-#define REC_H
+#ifndef LOG_RECORDS_H
+#define LOG_RECORDS_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 
 #define REC_FORMAT 1
--- a/src/fl.c
+++ b/src/log_simulator.c
@@ -1,4 +1,4 @@
-#include "fl.h"
+#include "log_simulator.h"
 
 #include <civetweb.h>
 #include <errno.h>
--- a/src/fl.h
+++ b/src/log_simulator.h
@@ -1,10 +1,10 @@
 /* fl: a fast in-memory simulator of the platform's append-only log, for
-   benchmarks.  It has the HTTP API described in lc.h; GET /test/state returns
-   the numbers of appends, reads and bytes. */
-#ifndef FL_H
-#define FL_H
+   benchmarks.  It has the HTTP API described in log_client.h; GET /test/state
+   returns the numbers of appends, reads and bytes. */
+#ifndef LOG_SIMULATOR_H
+#define LOG_SIMULATOR_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef struct {
     const char *listen;  /* IP:PORT */
--- a/src/main_client.c
+++ b/src/main_client.c
@@ -1,7 +1,7 @@
 /* bglade: the operators' client.  Parses the command line and runs one of
    the commands of cli.h. */
+#include "blocking_http.h"
 #include "cli.h"
-#include "hc.h"
 
 #include <argp.h>
 #include <signal.h>
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -8,7 +8,7 @@
    stop; the gn_ files connect the cores to the store and to other gateways. */
 #include "../platform/pf_store.h"
 #include "../platform/pf_wire.h"
-#include "gn.h"
+#include "gateway_node.h"
 
 #include <argp.h>
 #include <malloc.h>
--- a/src/main_load.c
+++ b/src/main_load.c
@@ -1,10 +1,10 @@
 /* bglade-load: tool for load tests and experiments.  A load generator, and
    fast simulators of engines and of the log. */
-#include "fe.h"
-#include "fl.h"
-#include "hc.h"
+#include "blocking_http.h"
+#include "engine_simulator.h"
 #include "ini.h"
-#include "ld.h"
+#include "load_generator.h"
+#include "log_simulator.h"
 
 #include <argp.h>
 #include <signal.h>
--- a/src/main_placer.c
+++ b/src/main_placer.c
@@ -1,11 +1,11 @@
 /* bglade-placer: decides which models are loaded on the upstreams of its data
-   centre.  The decisions are made by the placement core (pl.h).  This file
+   centre.  The decisions are made by the placement core (placer.h).  This file
    does its I/O: worker threads call upstreams for orders and reports, and a
    thread of its own fetches the VM list. */
-#include "hc.h"
-#include "js.h"
+#include "blocking_http.h"
+#include "json_parser.h"
 #include "node.h"
-#include "pl.h"
+#include "placer.h"
 #include "ring.h"
 
 #include <pthread.h>
--- a/src/main_router.c
+++ b/src/main_router.c
@@ -1,11 +1,11 @@
 /* bglade-router: serves client requests and forwards them to upstreams.  It
    connects the cores (routing, limits, at-most-once, quarantine) to the node,
    the HTTP server and the probe thread. */
-#include "hc.h"
+#include "blocking_http.h"
 #include "node.h"
 #include "req.h"
 #include "ring.h"
-#include "rt.h"
+#include "router.h"
 
 #include <pthread.h>
 #include <stdatomic.h>
--- a/src/mp.h
+++ b/src/model_placement.h
@@ -22,12 +22,12 @@
    model spreads until its replicas serve it in time, a model whose demand
    drops releases its slots at once, and rare models share the remaining
    memory by the cost of reloading them. */
-#ifndef MP_H
-#define MP_H
+#ifndef MODEL_PLACEMENT_H
+#define MODEL_PLACEMENT_H
 
-#include "bg_base.h"
-#include "dep.h"
-#include "dm.h"
+#include "base.h"
+#include "demand_aggregate.h"
+#include "gateway_types.h"
 
 typedef enum {
     MP_ORDER_ACCEPTED,  /* it is being carried out */
--- a/src/mp_demand.c
+++ b/src/model_placement_demand.c
@@ -1,4 +1,4 @@
-#include "mp_int.h"
+#include "model_placement_internal.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/mp_int.h
+++ b/src/model_placement_internal.h
@@ -1,15 +1,18 @@
 /* mp_int: declarations shared by the files of mp.
 
-     mp.c          state of upstreams: content, reports and results of orders
-     mp_demand.c   demand of callers, and the estimated capacity of a replica
-     mp_place.c    which model is loaded on which upstream
-     mp_adapter.c  the same for adapters
-     mp_store.c    how many loads from the weight store run concurrently
-     mp_publish.c  what is published to gateways */
-#ifndef MP_INT_H
-#define MP_INT_H
-
-#include "mp.h"
+     model_placement.c          state of upstreams: content, reports and
+                                results of orders
+     model_placement_demand.c   demand of callers, and the estimated capacity
+                                of a replica
+     model_placement_choice.c   which model is loaded on which upstream
+     model_placement_adapter.c  the same for adapters
+     model_placement_weights.c  how many loads from the weight store run
+                                concurrently
+     model_placement_publish.c  what is published to gateways */
+#ifndef MODEL_PLACEMENT_INTERNAL_H
+#define MODEL_PLACEMENT_INTERNAL_H
+
+#include "model_placement.h"
 
 /* As a time: not known in advance, but reported by the upstream. */
 #define WHEN_REPORTED UINT64_MAX
@@ -172,7 +175,7 @@
     double gain;     /* callers a second that the replica serves in time */
 } Shortage;
 
-/* mp.c */
+/* model_placement.c */
 Model *mp_get_model(Mp *m, const char *name);
 Replica *mp_find_replica(const Up *u, const Model *model);
 /* MODEL as the service of U declares it; NULL: it doesn't. */
@@ -180,7 +183,7 @@
 bool mp_has_copy(const Up *u, const Model *model);
 void mp_set_goal(Up *u, Model *model); /* NULL: none */
 
-/* mp_demand.c */
+/* model_placement_demand.c */
 /* Estimate of the concurrent requests that a replica serves in time, before
    any sample. */
 #define MP_INITIAL_CAPACITY 16.
@@ -198,13 +201,13 @@
 /* Free records of models, adapters and upstreams that are no longer used. */
 void mp_forget_idle(Mp *m, uint64_t now_ms);
 
-/* mp_publish.c */
+/* model_placement_publish.c */
 void mp_publish(Mp *m, Up *u, uint64_t now_ms);
 /* A load on U ended between BEFORE_MS and NOW_MS. */
 bool mp_has_just_become_ready(const Up *u, uint64_t now_ms,
                               uint64_t before_ms);
 
-/* mp_store.c */
+/* model_placement_weights.c */
 #define MP_MAX_STORE_LOADS 16
 uint32_t mp_count_store_loads(const Mp *m);
 /* Update the integral of concurrent loads; at each tick before loads are
@@ -224,7 +227,7 @@
 void mp_list_store_slots(const Mp *m, uint64_t now_ms, uint64_t *free_in_ms);
 uint64_t *mp_pick_first_slot(const Mp *m, uint64_t *free_in_ms);
 
-/* mp_place.c */
+/* model_placement_choice.c */
 bool mp_can_use(const Up *u);
 bool mp_can_order(const Up *u, uint64_t now_ms);
 void mp_send_order(Mp *m, uint64_t now_ms, Up *u, Model *model,
@@ -244,7 +247,7 @@
    load. */
 void mp_pursue_goal(Mp *m, uint64_t now_ms, Up *u);
 
-/* mp_adapter.c */
+/* model_placement_adapter.c */
 void mp_place_adapters(Mp *m, uint64_t now_ms);
 
 #endif
--- a/src/mp_publish.c
+++ b/src/model_placement_publish.c
@@ -1,4 +1,4 @@
-#include "mp_int.h"
+#include "model_placement_internal.h"
 
 /* Initial interval between first bytes of answers on an upstream: the
    processing of a prompt of 3,000 tokens. */
--- a/src/node.c
+++ b/src/node.c
@@ -1,8 +1,8 @@
 #include "node.h"
 
+#include "blocking_http.h"
 #include "feed.h"
-#include "hc.h"
-#include "lc.h"
+#include "log_client.h"
 #include "ring.h"
 #include "roster.h"
 
--- a/src/node.h
+++ b/src/node.h
@@ -17,7 +17,7 @@
 #ifndef NODE_H
 #define NODE_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "cfg.h"
 #include "fold.h"
--- a/src/once.c
+++ b/src/once.c
@@ -1,6 +1,6 @@
 #include "once.h"
 
-#include "rec.h"
+#include "log_records.h"
 
 #include <jansson.h>
 #include <stdlib.h>
--- a/src/once.h
+++ b/src/once.h
@@ -14,7 +14,7 @@
 #ifndef ONCE_H
 #define ONCE_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "fold.h"
 
--- a/src/peer.h
+++ b/src/peer.h
@@ -10,7 +10,7 @@
 #ifndef PEER_H
 #define PEER_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 
 #define PEER_MAX_FRAME (4u * 1024 * 1024)
--- a/src/pl.h
+++ b/src/placer.h
@@ -6,7 +6,7 @@
    orders a load, and sends the order only once the intent is in effect.  So
    whatever a paused or dead owner still sends is already counted.  The one
    exception is the standing grant of the claim, under which some loads may be
-   ordered while the log is unreachable (pl_own.c).
+   ordered while the log is unreachable (placer_ownership.c).
 
    Terms: an epoch is the term of one claim.  A fencing upstream refuses
    orders whose fencing number is below the highest that it has seen.  A boot
@@ -15,10 +15,10 @@
    A state machine without threads, I/O or clock: events come in as calls
    with the time, actions go out through PlOutput.  It reads the Fold, which
    its caller applies and owns. */
-#ifndef PL_H
-#define PL_H
+#ifndef PLACER_H
+#define PLACER_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "fold.h"
 #include "keep.h"
--- a/src/pl_int.h
+++ b/src/placer_internal.h
@@ -1,15 +1,17 @@
-/* pl_int: internals of the placement core, for the pl_*.c files only.
+/* pl_int: internals of the placement core, for the placer_*.c files only.
 
-   pl.c        creation, events, and the published state
-   pl_book.c   look-ups of upstreams, loads and models; records for the log
-   pl_own.c    ownership of the data centre, and the standing grant
-   pl_order.c  orders to upstreams, their answers and reports
-   pl_place.c  counting of replicas and memory, choice of upstreams, decisions
-   pl_check.c  invariants */
-#ifndef PL_INT_H
-#define PL_INT_H
+   placer.c            creation, events, and the published state
+   placer_loads.c      look-ups of upstreams, loads and models; records for the
+                       log
+   placer_ownership.c  ownership of the data centre, and the standing grant
+   placer_order.c      orders to upstreams, their answers and reports
+   placer_decisions.c  counting of replicas and memory, choice of upstreams,
+                       decisions
+   placer_check.c      invariants */
+#ifndef PLACER_INTERNAL_H
+#define PLACER_INTERNAL_H
 
-#include "pl.h"
+#include "placer.h"
 
 #define MAX_MISSED_POLLS 3 /* then an upstream is unreachable */
 #define CLAIM_RETRY_MS 2000
@@ -207,10 +209,10 @@
     Load *lingering;  /* one that may be loaded again under its record */
 } Replicas;
 
-/* ---- pl.c: creation, events, and the published state ---- */
+/* ---- placer.c: creation, events, and the published state ---- */
 void pl_free_load(gpointer p);
 
-/* ---- pl_book.c: look-ups and records for the log ---- */
+/* ---- placer_loads.c: look-ups and records for the log ---- */
 Upstream *pl_get_upstream(PlCore *c, const char *id);
 Load *pl_find_load(const PlCore *c, const char *upstream, const char *model);
 Load *pl_add_load(Upstream *u, const char *model, LoadPhase phase,
@@ -233,7 +235,7 @@
 void pl_append_clear(PlCore *c);
 void pl_append_quiesce(PlCore *c, uint64_t epoch, const GPtrArray *open);
 
-/* ---- pl_own.c: ownership and the standing grant ---- */
+/* ---- placer_ownership.c: ownership and the standing grant ---- */
 void pl_consider_claim(PlCore *c, uint64_t now_ms);
 void pl_note_claim(PlCore *c, uint64_t now_ms);
 void pl_close_epochs(PlCore *c, uint64_t now_ms);
@@ -246,7 +248,7 @@
 void pl_consider_clear(PlCore *c, uint64_t now_ms);
 void pl_consider_refresh(PlCore *c, uint64_t now_ms);
 
-/* ---- pl_order.c: orders to upstreams, their answers and reports ---- */
+/* ---- placer_order.c: orders to upstreams, their answers and reports ---- */
 uint64_t pl_get_fence(const PlCore *c);
 void pl_send_order(PlCore *c, PlOrderKind kind, const Upstream *u,
                    const CfgModel *m, Load *l);
@@ -254,7 +256,7 @@
 void pl_settle_upstream(PlCore *c, Upstream *u, uint64_t now_ms);
 void pl_take_absent(PlCore *c, Load *l, uint64_t now_ms);
 
-/* ---- pl_place.c: counting, choice and decisions ---- */
+/* ---- placer_decisions.c: counting, choice and decisions ---- */
 uint32_t pl_count_unrecorded(const PlCore *c, const Upstream *u,
                              const char *except);
 uint32_t pl_count_memory(const PlCore *c, const Upstream *u);
--- a/src/pl_book.c
+++ b/src/placer_loads.c
@@ -1,6 +1,6 @@
-#include "pl_int.h"
+#include "placer_internal.h"
 
-#include "rec.h"
+#include "log_records.h"
 
 #include <string.h>
 
--- a/src/pl_own.c
+++ b/src/placer_ownership.c
@@ -1,4 +1,4 @@
-#include "pl_int.h"
+#include "placer_internal.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/qr.c
+++ b/src/quarantine.c
@@ -1,6 +1,6 @@
-#include "qr.h"
+#include "quarantine.h"
 
-#include "rec.h"
+#include "log_records.h"
 
 #include <string.h>
 
--- a/src/qr.h
+++ b/src/quarantine.h
@@ -10,10 +10,10 @@
 
    A state machine without threads, I/O or clock, owned by a router's core
    thread. */
-#ifndef QR_H
-#define QR_H
+#ifndef QUARANTINE_H
+#define QUARANTINE_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "fold.h"
 
--- a/src/rl.c
+++ b/src/relay_plan.c
@@ -1,4 +1,4 @@
-#include "rl.h"
+#include "relay_plan.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/rl.h
+++ b/src/relay_plan.h
@@ -11,10 +11,10 @@
    leader's link and processor can serve a few dozen of them.
 
    No threads, I/O or clock. */
-#ifndef RL_H
-#define RL_H
+#ifndef RELAY_PLAN_H
+#define RELAY_PLAN_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef struct {
     uint32_t direct;  /* links that the leader serves without relays */
--- a/src/req.c
+++ b/src/req.c
@@ -1,7 +1,7 @@
 #include "req.h"
 
-#include "hc.h"
-#include "js.h"
+#include "blocking_http.h"
+#include "json_parser.h"
 #include "watch.h"
 
 #include <civetweb.h>
--- a/src/rb.c
+++ b/src/retry_budget.c
@@ -1,4 +1,4 @@
-#include "rb.h"
+#include "retry_budget.h"
 
 /* The sliding window is counted in slices; a retry counts until its whole
    slice has left the window. */
--- a/src/rb.h
+++ b/src/retry_budget.h
@@ -5,10 +5,10 @@
    requests and an equal part of the slack.
 
    No threads, I/O or clock. */
-#ifndef RB_H
-#define RB_H
+#ifndef RETRY_BUDGET_H
+#define RETRY_BUDGET_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef struct {
     uint32_t window_ms;
--- a/src/ring.h
+++ b/src/ring.h
@@ -3,7 +3,7 @@
 #ifndef RING_H
 #define RING_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef struct Ring Ring;
 
--- a/src/roster.h
+++ b/src/roster.h
@@ -7,7 +7,7 @@
 #ifndef ROSTER_H
 #define ROSTER_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "peer.h"
 
--- a/src/rt.c
+++ b/src/router.c
@@ -1,6 +1,6 @@
-#include "rt.h"
+#include "router.h"
 
-#include "fq.h"
+#include "fair_queue.h"
 
 #include <jansson.h>
 #include <stdlib.h>
--- a/src/rt.h
+++ b/src/router.h
@@ -6,13 +6,13 @@
    or send.  It reports the result of each send with rt_on_done, which ends
    the request or leads to another send, to finish (final) or to refuse.  A
    request is refused as soon as its deadline can no longer be met. */
-#ifndef RT_H
-#define RT_H
+#ifndef ROUTER_H
+#define ROUTER_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 #include "cfg.h"
-#include "up.h"
+#include "router_upstreams.h"
 
 typedef struct {
     UpParams up;
--- a/src/up.c
+++ b/src/router_upstreams.c
@@ -1,4 +1,4 @@
-#include "up.h"
+#include "router_upstreams.h"
 
 #include <jansson.h>
 #include <string.h>
--- a/src/up.h
+++ b/src/router_upstreams.h
@@ -8,10 +8,10 @@
    which is exact, plus an estimate of the calls of others: the reported count
    minus this router's own at the time of the report.  As a report is stale
    when it arrives, the estimate decays to 0 over UP_REPORT_MS. */
-#ifndef UP_H
-#define UP_H
+#ifndef ROUTER_UPSTREAMS_H
+#define ROUTER_UPSTREAMS_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "bglade.pb-c.h"
 
 #define UP_REPORT_MS 1000
--- a/src/snap.c
+++ b/src/snap.c
@@ -1,7 +1,7 @@
 /* Encodes the fold's state to bytes and decodes it, with one encoder and one
    decoder per section of the fold.  A field that is added to the fold must be
    added here. */
-#include "fold_int.h"
+#include "fold_internal.h"
 
 #include <string.h>
 #include <xxhash.h>
--- a/src/so.c
+++ b/src/sockets.c
@@ -1,4 +1,4 @@
-#include "so.h"
+#include "sockets.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/src/so.h
+++ b/src/sockets.h
@@ -1,9 +1,9 @@
 /* so: non-blocking TCP sockets for ht and lk.  Addresses are numeric.  The
    kernel closes a connection with bytes unacknowledged for 4 s. */
-#ifndef SO_H
-#define SO_H
+#ifndef SOCKETS_H
+#define SOCKETS_H
 
-#include "bg_base.h"
+#include "base.h"
 
 /* Listen on ADDRESS (IP:PORT); -1 with ERR set when that fails. */
 int so_listen(const char *address, GError **err);
--- a/src/st.c
+++ b/src/store.c
@@ -1,4 +1,4 @@
-#include "st.h"
+#include "store.h"
 
 #include <ev.h>
 #include <string.h>
--- a/src/st.h
+++ b/src/store.h
@@ -7,10 +7,10 @@
 
    StWatch follows a topic: it lists it, then reads what is appended, and lists
    again when it can't continue. */
-#ifndef ST_H
-#define ST_H
+#ifndef STORE_H
+#define STORE_H
 
-#include "bg_base.h"
+#include "base.h"
 
 typedef enum {
     ST_CONFIG,    /* written by operators, under one key */
--- a/src/lk.c
+++ b/src/tcp_links.c
@@ -1,6 +1,6 @@
-#include "lk.h"
+#include "tcp_links.h"
 
-#include "so.h"
+#include "sockets.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
--- a/src/lk.h
+++ b/src/tcp_links.h
@@ -4,10 +4,10 @@
    when nothing arrived for LK_SILENT_MS, and opened again: a connection can go
    silent for good while new ones work.  A peer has twice that time.  All calls
    and callbacks are on the loop's thread. */
-#ifndef LK_H
-#define LK_H
+#ifndef TCP_LINKS_H
+#define TCP_LINKS_H
 
-#include "bg_base.h"
+#include "base.h"
 #include "gateway.pb-c.h"
 
 #include <ev.h>
--- a/src/ut.c
+++ b/src/upstream_table.c
@@ -1,4 +1,4 @@
-#include "ut.h"
+#include "upstream_table.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/ut.h
+++ b/src/upstream_table.h
@@ -5,11 +5,11 @@
    calls.
 
    No threads, I/O or clock: callers pass the time in. */
-#ifndef UT_H
-#define UT_H
+#ifndef UPSTREAM_TABLE_H
+#define UPSTREAM_TABLE_H
 
-#include "bg_base.h"
-#include "dep.h"
+#include "base.h"
+#include "gateway_types.h"
 
 typedef struct {
     const char *data_centre; /* of this gateway */
--- a/src/watch.h
+++ b/src/watch.h
@@ -4,7 +4,7 @@
 #ifndef WATCH_H
 #define WATCH_H
 
-#include "bg_base.h"
+#include "base.h"
 
 struct mg_request_info;
 
--- a/src/wl.c
+++ b/src/workspace_limits.c
@@ -1,4 +1,4 @@
-#include "wl.h"
+#include "workspace_limits.h"
 
 #include <math.h>
 
--- a/src/wl.h
+++ b/src/workspace_limits.h
@@ -9,11 +9,11 @@
    A limit is a token bucket, filled at the rate up to a capacity.  Requests
    admitted before the others learnt of them may leave it below zero; the debt
    is repaid from the rate.  A gateway that gets no levels goes on with the
-   last ones for a moment (LEVELS_LIFETIME_MS in wl.c) and then keeps, together
-   with those that it aggregates for, to its share of the fleet's limit.  Its
-   next aggregator counts that share as full, and the gateway reports what is
-   missing from it; until that report is in the published levels, the gateway
-   keeps to its share.
+   last ones for a moment (LEVELS_LIFETIME_MS in workspace_limits.c) and then
+   keeps, together with those that it aggregates for, to its share of the
+   fleet's limit.  Its next aggregator counts that share as full, and the
+   gateway reports what is missing from it; until that report is in the
+   published levels, the gateway keeps to its share.
 
    Workload: a workspace's requests come to any gateway, a few a second at
    each, and one request may cost a good part of what the limit admits in a
@@ -21,11 +21,11 @@
    shares for each gateway would refuse requests of the first kind.
 
    No threads, I/O or clock: callers pass the time in. */
-#ifndef WL_H
-#define WL_H
+#ifndef WORKSPACE_LIMITS_H
+#define WORKSPACE_LIMITS_H
 
-#include "bg_base.h"
-#include "dep.h"
+#include "base.h"
+#include "gateway_types.h"
 
 typedef struct {
     /* Bound to keep: in any window of WINDOW_MS at most
--- a/tests/bench_mp.c
+++ b/tests/bench_mp.c
@@ -2,7 +2,7 @@
    time, in steady state and after half of the upstreams have crashed.
 
    bench_mp UPSTREAMS MODELS ADAPTERS GATEWAYS REQUESTS_PER_S */
-#include "mp.h"
+#include "model_placement.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/script_append.c
+++ b/tests/script_append.c
@@ -3,10 +3,10 @@
 
      script_append IP:PORT SECONDS WINDOW_MS
    WINDOW_MS -1: one record per append. */
-#include "bg_base.h"
-#include "hc.h"
-#include "lc.h"
-#include "rec.h"
+#include "base.h"
+#include "blocking_http.h"
+#include "log_client.h"
+#include "log_records.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/tests/script_dm.c
+++ b/tests/script_dm.c
@@ -12,7 +12,7 @@
      silent LIFE_MS               expires sources without an update
      collect whole|changed        prints the sums, sorted
      sources                      prints their number */
-#include "dm.h"
+#include "demand_aggregate.h"
 #include "script.h"
 
 #include <stdio.h>
--- a/tests/script_feed.c
+++ b/tests/script_feed.c
@@ -19,10 +19,10 @@
      check                    offset of each; compares all with the log
      settle                   end all faults, run rounds until all have caught
                               up (at most MAX_ROUNDS), then check */
-#include "bg_base.h"
+#include "base.h"
 #include "ckpt.h"
 #include "feed.h"
-#include "rec.h"
+#include "log_records.h"
 #include "script.h"
 
 #include <stdio.h>
--- a/tests/script_fold.c
+++ b/tests/script_fold.c
@@ -25,10 +25,10 @@
      reload                encode the state and decode it into a new fold
      checkpoint            append the state as a checkpoint
      deaths DIGIT / memory CENTRE UPSTREAM / replicas CENTRE MODEL / state */
-#include "bg_base.h"
+#include "base.h"
 #include "ckpt.h"
 #include "fold.h"
-#include "rec.h"
+#include "log_records.h"
 #include "script.h"
 
 #include <stdio.h>
--- a/tests/script_once.c
+++ b/tests/script_once.c
@@ -19,10 +19,10 @@
      kill R                replaces R by a new process without state
      drain R
      open R                prints the number of calls without a final record */
-#include "bg_base.h"
+#include "base.h"
 #include "fold.h"
+#include "log_records.h"
 #include "once.h"
-#include "rec.h"
 #include "script.h"
 
 #include <stdio.h>
--- a/tests/script_pl.c
+++ b/tests/script_pl.c
@@ -24,10 +24,10 @@
    Upstreams of deployment "fen" check fencing numbers, those of "ign" don't.
    Models: fa, fb on fen and ia, ib on ign, 40 and 60 MB, ceilings 1 and 2; fl
    is an adapter of 10 MB on fb. */
-#include "bg_base.h"
+#include "base.h"
 #include "fold.h"
-#include "pl.h"
-#include "rec.h"
+#include "log_records.h"
+#include "placer.h"
 #include "script.h"
 
 #include <stdio.h>
--- a/tests/script_rl.c
+++ b/tests/script_rl.c
@@ -4,7 +4,7 @@
      params DIRECT MEMBERS MOVES   as RlParams; begins a scenario
      peer VM DATA_CENTRE FITNESS MEMBERS [leaving] [unreachable RELAY]
      plan                          prints the moves of VMs to relays, sorted */
-#include "rl.h"
+#include "relay_plan.h"
 #include "script.h"
 
 #include <stdio.h>
--- a/tests/script_rt.c
+++ b/tests/script_rt.c
@@ -17,7 +17,7 @@
      left UPSTREAM ADDRESS: announced by another router
      no_room MODEL RETRY_MS
      drain, wants, count */
-#include "rt.h"
+#include "router.h"
 #include "script.h"
 
 #include <stdio.h>
--- a/tests/script_wl.c
+++ b/tests/script_wl.c
@@ -22,7 +22,7 @@
        worst        largest amount that ran in a window, over what the bound
                     allows */
 #include "script.h"
-#include "wl.h"
+#include "workspace_limits.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -21,7 +21,9 @@
 
 # Exceptions: headers that the product's own interface had before the platform
 # defined the same names.
-OWN = {"req.c: X-Deadline-Ms", "hc.c: X-Attempt-Id", "hc.h: X-Attempt-Id"}
+OWN = {"req.c: X-Deadline-Ms",
+       "blocking_http.c: X-Attempt-Id",
+       "blocking_http.h: X-Attempt-Id"}
 
 
 def read(path):
@@ -47,8 +49,9 @@
                    if ".pb-c." not in p)
     adapter = count("platform/*.[ch]")
     gateway = sum(count("src/%s.[ch]" % name) for name in (
-        "ht*", "so", "gn*", "st", "dep", "ls", "rb", "ut", "mp*", "lk", "gw*", "jl",
-        "main_gateway"))
+        "http*", "sockets", "gateway_node*", "store", "gateway_types",
+        "lease", "retry_budget", "upstream_table", "model_placement*",
+        "tcp_links", "gateway_request*", "json_log", "main_gateway"))
     print("platform/ %d lines, gateway %d lines" % (adapter, gateway))
     assert adapter * 4 < gateway
 
--- a/tests/unit_base.c
+++ b/tests/unit_base.c
@@ -1,8 +1,8 @@
 /* Unit tests of small modules: rings, JSON bounds, batches, templates. */
-#include "bg_base.h"
+#include "base.h"
 #include "cfg.h"
-#include "js.h"
-#include "rec.h"
+#include "json_parser.h"
+#include "log_records.h"
 #include "ring.h"
 
 #include <CUnit/Basic.h>
--- a/tests/unit_gateway.c
+++ b/tests/unit_gateway.c
@@ -1,12 +1,12 @@
 /* Unit tests of the gateway's modules that run without threads, I/O or clock:
    lease (ls), retry budget (rb), choice of an upstream (ut), lag (lag),
    placement (mp), routes (dep).  Time is a number that the tests advance. */
-#include "dep.h"
+#include "gateway_types.h"
 #include "lag.h"
-#include "ls.h"
-#include "mp.h"
-#include "rb.h"
-#include "ut.h"
+#include "lease.h"
+#include "model_placement.h"
+#include "retry_budget.h"
+#include "upstream_table.h"
 
 #include <CUnit/Basic.h>
 #include <string.h>
