--- a/src/demand_aggregate.h
+++ b/src/demand_aggregate.h
@@ -26,7 +26,7 @@
     uint32_t running;
     uint32_t arrived;
     uint32_t tight_deadline; /* of these, due before a load from disk ends */
-    uint32_t refused;        /* because too many wait already */
+    uint32_t refused;        /* of these, because too many wait already */
 } DmModelDemand;
 
 /* Requests on one upstream for one model or adapter; levels. */
--- a/src/lease.h
+++ b/src/lease.h
@@ -50,8 +50,8 @@
 void ls_destroy(Ls *l);
 
 void ls_on_tick(Ls *l, uint64_t now_ms);
-/* RESULT is StReply.end and TAIL is StReply.tail; VALUE: of the newest record
-   read, or NULL. */
+/* RESULT is StReply.result and TAIL is StReply.tail; VALUE: of the newest
+   record read, or NULL. */
 void ls_on_read(Ls *l, uint64_t now_ms, StResult result, const char *value,
                 uint64_t offset, uint64_t tail);
 void ls_on_append(Ls *l, uint64_t now_ms, StResult result, uint64_t offset,
--- a/src/model_placement.c
+++ b/src/model_placement.c
@@ -20,8 +20,8 @@
 #define MAX_REPORT_BACKOFFS 3
 /* Before the next order after a conflict with our own running order. */
 #define CONFLICT_RETRY_MS 25
-/* An unload waits for running requests: a conflict within this time after it
-   is expected and no sign of unknown content. */
+/* An unload waits for running requests.  So conflicts are expected for this
+   long after it is accepted, and are no sign of unknown content. */
 #define UNLOAD_DRAIN_MS 1200
 /* Between reports requested for broken connections of one upstream. */
 #define SUSPECT_INTERVAL_MS 500
--- a/src/model_placement_choice.c
+++ b/src/model_placement_choice.c
@@ -46,12 +46,14 @@
 /* Required gain for evicting a replica in use, whose own callers are delayed.
  */
 #define MIN_GAIN_IN_USE 16.
-/* Time of an unload of an idle replica, so that free memory is preferred. */
+/* An unload of an idle replica takes this long, so free memory is preferred to
+   an eviction. */
 #define IDLE_UNLOAD_S 0.1
 #define IDLE_AFTER_MS 100 /* after the last use was reported */
 #define GOAL_TIMEOUT_MS 4000
-/* Wait for an upstream with a local copy before a load from the weight store;
-   if it is unreachable, at least the load time divided by the divisor. */
+/* Wait for an upstream with a local copy before a load from the weight store.
+   If all such upstreams are unreachable, the wait is at least the time of that
+   load divided by UNREACHABLE_WAIT_DIVISOR. */
 #define COPY_WAIT_MS 1500
 #define UNREACHABLE_WAIT_DIVISOR 3
 
@@ -458,8 +460,9 @@
     return best;
 }
 
-/* The weight store is slow and shared.  It is used for models without usable
-   local copies, and otherwise only after a wait in vain. */
+/* The weight store is slow and shared.  It is used at once for models without
+   usable local copies and for those with a high gain, otherwise only after a
+   wait in vain. */
 static bool
 may_use_store(uint64_t now_ms, const Shortage *w)
 {
--- a/src/model_placement_internal.h
+++ b/src/model_placement_internal.h
@@ -124,7 +124,7 @@
     bool order_from_store;
     /* Other state. */
     bool published;        /* its present content */
-    bool unreachable;      /* the last call did not reach it */
+    bool unreachable;      /* last report unanswered or last order not sent */
     uint64_t suspected_ms; /* last report requested for a broken connection */
     uint64_t verified_ms;  /* last report requested by verify_waited_models */
     UpstreamLoad *load;
@@ -223,7 +223,8 @@
 /* The load ordered at ORDER_MS was not started. */
 void mp_cancel_store_start(Mp *m, uint64_t order_ms);
 /* FREE_IN_MS: for each concurrent load of the store, the time until it ends;
-   MP_MAX_STORE_LOADS entries, which the caller sets to 0. */
+   0: the slot is free.  MP_MAX_STORE_LOADS entries, which the caller sets to
+   0 before the call. */
 void mp_list_store_slots(const Mp *m, uint64_t now_ms, uint64_t *free_in_ms);
 uint64_t *mp_pick_first_slot(const Mp *m, uint64_t *free_in_ms);
 
--- a/src/upstream_table.c
+++ b/src/upstream_table.c
@@ -47,8 +47,8 @@
 /* The longest queue wait accepted, in percent of the request's max_wait_ms,
    is spread over requests from this to 100 more. */
 #define MIN_WAIT_PERCENT 50
-/* An upstream counts as alive for this long after the end of a call of this
-   gateway that it answered. */
+/* An upstream counts as alive, so as busy rather than down, for this long
+   after the end of a call of this gateway that it answered. */
 #define ALIVE_MS 700
 
 typedef struct {
--- a/src/workspace_limits.c
+++ b/src/workspace_limits.c
@@ -23,8 +23,9 @@
 /* Number of gateways assumed while the fleet's size is unknown. */
 #define ASSUMED_FLEET 64
 /* Minimum share of the root aggregator.  While it does not hear from some
-   gateways it leaves their shares unused, but not below this: most of them are
-   down, and their callers come to the others. */
+   gateways it leaves their shares unused, but goes on using at least this part
+   of the limit: most of those gateways are down, and their callers come to the
+   others. */
 #define MIN_SHARE 0.6
 /* A workspace is near its limit, and its level is published, while less than
    this many times its demand could be admitted. */
