--- a/src/model_placement.c
+++ b/src/model_placement.c
@@ -728,8 +728,8 @@
 }
 
 /* The unload is not known to have been accepted.  The replica is published
-   again; otherwise its callers could not use it, and it would not be loaded
-   elsewhere. */
+   again; otherwise its callers could not use it, and its model would not be
+   loaded on this upstream again. */
 static void
 cancel_unload(Up *u)
 {
--- a/src/model_placement.h
+++ b/src/model_placement.h
@@ -60,8 +60,8 @@
     /* Announce to all gateways that exactly MODELS (DepResident, borrowed) can
        be used on UPSTREAM. */
     void (*publish)(void *ctx, const char *upstream, const GPtrArray *models);
-    /* Announce that UPSTREAM did not answer: gateways must not use it until
-       the next publish for it. */
+    /* Announce that UPSTREAM did not answer: gateways send it only single
+       probes until the next publish for it or until it answers them. */
     void (*publish_unreachable)(void *ctx, const char *upstream);
     /* For the log: a replica of MODEL is now estimated to serve CAPACITY
        concurrent requests in time.  SLOW is the share of requests that were
