--- a/src/gateway_node.h
+++ b/src/gateway_node.h
@@ -242,7 +242,8 @@
 /* Publish the levels of workspaces' limits, unless we get them from an
    aggregator. */
 void gn_publish_limits(Gateway *g, uint64_t now_ms);
-/* The leader's heartbeat, to a gateway that has just linked. */
+/* If this VM is the leader, sends its heartbeat to a gateway that has just
+   linked, which so hears of the leader at once. */
 void gn_send_initial_state(Gateway *g, LkPeer *to);
 /* An upstream broke off while it ran REQUEST.  DOWN: to all linked gateways;
    else to the VM that we are linked to. */
@@ -250,7 +251,8 @@
                    bool down);
 void gn_on_frame(void *ctx, LkPeer *from, const Gwp__Frame *frame);
 void gn_publish_unreachable(Gateway *g);
-/* Down, and also up if the leader does not read the store. */
+/* Sends the changes to all linked gateways, and also towards the leader if it
+   does not read the store. */
 void gn_publish_upstreams(Gateway *g, const GPtrArray *changed,
                           const GPtrArray *gone);
 void gn_request_config(Gateway *g, LkPeer *of);
--- a/src/gateway_node_demand.c
+++ b/src/gateway_node_demand.c
@@ -2,7 +2,8 @@
 
 #define MAIL_INTERVAL_MS 300 /* between messages left in the store */
 /* The leader reads its mailbox in the store, more often while fewer gateways
-   are linked than are known. */
+   are linked than are known: the others may have no link and use the mailbox.
+ */
 #define MAIL_READ_INTERVAL_MS 1000
 #define MAIL_SHORT_READ_INTERVAL_MS 250
 #define MEMBER_TIMEOUT_MS 30000 /* without contact: the gateway is gone */
--- a/src/gateway_node_links.c
+++ b/src/gateway_node_links.c
@@ -480,8 +480,9 @@
     gw_on_change(g->gw);
 }
 
-/* From a gateway that read them in the store.  Residents are taken for new
-   upstreams only: those of an entry are older than what is known here. */
+/* Takes upstreams from a gateway that read them in the store.  Residents are
+   taken for new upstreams only: those of an entry are older than what is known
+   here. */
 static void
 take_upstreams_from_below(Gateway *g, const Gwp__Frame *f)
 {
--- a/src/gateway_node_orders.c
+++ b/src/gateway_node_orders.c
@@ -8,8 +8,8 @@
 
 /* ---- placement ---------------------------------------------------------- */
 
-/* Not while only part of the upstreams is known: models that the others hold
-   would be loaded again. */
+/* No orders are sent while only part of the upstreams is known: models that
+   the others hold would be loaded again. */
 bool
 gn_may_order(const Gateway *g, uint64_t now_ms)
 {
--- a/src/gateway_node_relay.c
+++ b/src/gateway_node_relay.c
@@ -51,8 +51,7 @@
     g_free(p);
 }
 
-/* ---- our own link --------------------------------------------------------
- */
+/* ---- our own link ------------------------------------------------------- */
 
 bool
 gn_hears_leader(const Gateway *g, uint64_t now_ms)
--- a/src/gateway_node_store.c
+++ b/src/gateway_node_store.c
@@ -161,7 +161,7 @@
     dep_destroy_upstream(u);
 }
 
-/* Logged only by gateways that read it in the store. */
+/* Only a gateway that read the removal in the store logs it. */
 static void
 log_gone(const char *id)
 {
--- a/src/main_gateway.c
+++ b/src/main_gateway.c
@@ -59,8 +59,8 @@
    reported, this many are assumed. */
 #define ASSUMED_GATEWAYS 16
 /* A leader that is cut off from more than half of the upstreams for
-   YIELD_AFTER_MS gives up the lease, and doesn't claim it again for
-   YIELD_MS. */
+   YIELD_AFTER_MS gives up the lease, so that another VM can send the orders,
+   and doesn't claim it again for YIELD_MS. */
 #define YIELD_AFTER_MS 1500
 #define YIELD_MS 8000
 
--- a/src/tcp_links.c
+++ b/src/tcp_links.c
@@ -10,7 +10,8 @@
 
 /* Enough for all upstreams of a large fleet. */
 #define MAX_FRAME_BYTES (8 * 1024 * 1024)
-/* Output queued for a peer that does not read; more closes its link. */
+/* Limit of the output queued for a far end that does not read.  Frames beyond
+   it are dropped, and a peer's link is closed. */
 #define MAX_UNSENT_BYTES (16 * 1024 * 1024)
 #define CONNECT_TIMEOUT_MS 400
 /* The jitter spreads the members of a lost relay. */
@@ -26,7 +27,8 @@
     bool urgent;
     bool dispatching; /* inside on_frame for one of its frames */
     bool dropped;     /* closed meanwhile: freed after the dispatch */
-    bool overflowed;  /* frames for it were dropped: the next tick closes it */
+    bool overflowed; /* frames for it were dropped: a tick closes the link of a
+                        peer, but not our own */
     ev_io read_watch;
     ev_io write_watch;
     GByteArray *in;
--- a/src/tcp_links.h
+++ b/src/tcp_links.h
@@ -59,7 +59,8 @@
 void lk_visit_peers(Lk *l, void (*visit)(void *ctx, LkPeer *p), void *ctx);
 /* Name of the VM at the other end; "" before its first frame. */
 const char *lk_get_vm(const LkPeer *p);
-/* Names the peer; a former link of the same VM is closed. */
+/* Names the peer.  A former link of the same VM is closed, as the VM opened
+   this one in its place. */
 void lk_set_vm(LkPeer *p, const char *vm);
 void *lk_get_user(const LkPeer *p);
 void lk_set_user(LkPeer *p, void *user);
