--- a/src/gateway_node.h
+++ b/src/gateway_node.h
@@ -237,7 +237,7 @@
 /* Publish loads and the heartbeat to all linked gateways. */
 void gn_send_state(Gateway *g, uint64_t now_ms);
 /* Pass to the limits of workspaces how many gateways there are, and for how
-   many this one aggregates. */
+   many this one aggregates.  Without such limits it does nothing. */
 void gn_update_fleet(Gateway *g, uint64_t now_ms);
 /* Publish the levels of workspaces' limits, unless we get them from an
    aggregator. */
--- a/src/gateway_request.c
+++ b/src/gateway_request.c
@@ -25,8 +25,9 @@
    the route's gap_ms, or SILENT_GAP_MS if the route has none. */
 #define SILENT_GAPS 2
 #define SILENT_GAP_MS 1000
-/* A silent upstream that still answers others is busy.  Its request moves only
-   to one whose load, plus these requests, is below this share of its own. */
+/* A silent upstream that still answers others is busy.  A request moves from
+   it only to one whose load plus BUSY_SWITCH_FEWER_REQUESTS is below
+   BUSY_SWITCH_LOAD_RATIO of the load of the busy one. */
 #define BUSY_SWITCH_LOAD_RATIO 0.5
 #define BUSY_SWITCH_FEWER_REQUESTS 2
 /* From one that answers nobody, the request moves unless the other has at
@@ -59,14 +60,17 @@
 /* From the last contact with a lost leader to the first order of the next: the
    rest of the lease, the claim, the guard interval. */
 #define LEADER_CHANGE_MS 5200
-#define LEADER_OVERDUE_MS 400    /* assumed when the next leader is overdue */
+/* The wait that is assumed after LEADER_CHANGE_MS: a leader is overdue and may
+   send orders at any moment. */
+#define LEADER_OVERDUE_MS 400
 #define ESTIMATE_MAX_AGE_MS 1500 /* older ones are ignored */
 /* A request is refused rather than queued at an upstream where it would wait
    longer than this multiple of its route's objective.  A longer queue makes
    all answers late and raises no throughput: the upstream begins as many
    requests a second with a short one. */
 #define MAX_QUEUE_OBJECTIVES 1.25
-/* A model must be loaded this long before the caller leaves to be of use. */
+/* Least time that a model needs to answer once its load has ended.  If the
+   caller leaves earlier, the request does not wait for the model. */
 #define MIN_SERVE_MS 150
 /* Urgency on the wire: 0 is the most urgent, 5 the default, 9 the least. */
 #define FIRST_URGENCY 3
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -78,8 +78,9 @@
    that is in force. */
 void gw_admit_early(Gw *g);
 /* BEHIND: a newer configuration is known to exist, so an unknown key is
-   answered 503, not 401.  STALE: the configuration is so old that keys may
-   have been revoked since; no key is accepted. */
+   answered 503, not 401.  STALE: the configuration was not confirmed as the
+   newest for so long that keys may have been revoked since; no key is
+   accepted. */
 void gw_set_config_freshness(Gw *g, bool behind, bool stale);
 /* COMPLETE: the list of upstreams was read to its end.  Until then a request
    that no known upstream can serve waits a little for the rest. */
--- a/src/gateway_types.h
+++ b/src/gateway_types.h
@@ -51,8 +51,8 @@
     uint32_t timeout_ms;       /* to the end of the answer; 0: none */
     uint32_t objective_ms;     /* target time to the first byte */
     uint32_t gap_ms;           /* longest pause between events; 0: no target */
-    uint32_t event_timeout_ms; /* callers leave after a longer pause; 0: not
-                                  given */
+    uint32_t event_timeout_ms; /* callers leave after this time without an
+                                  event; 0: not given */
     uint32_t attempts;         /* upstreams that one request may run on */
     uint32_t priority;         /* 0 is the highest */
     GArray *splits;            /* DepSplit; at least one */
