--- a/src/ckpt.c
+++ b/src/ckpt.c
@@ -56,7 +56,7 @@
 } PartialCheckpoint;
 
 struct CkptCollector {
-    GPtrArray *partials; /* Part, oldest first */
+    GPtrArray *partials; /* PartialCheckpoint, oldest first */
     GByteArray *newest;
     uint64_t covered;
 };
--- a/src/desk.c
+++ b/src/desk.c
@@ -435,6 +435,7 @@
     if (!w || !e->upstream) {
         return;
     }
+    /* From now on it is only sent to an upstream without other calls. */
     w->suspect = w->suspect || e->attempt.died;
     /* The VM of a leaving upstream is removed on purpose: the request is not
        the cause. */
--- a/src/feed.c
+++ b/src/feed.c
@@ -8,8 +8,8 @@
 
 #define START_WAIT_MS 300        /* for the first heartbeats of peers */
 #define START_WAIT_EMPTY_MS 1500 /* the same, if the log is empty */
-#define PEER_LIVE_MS 1500        /* a peer is live after a heartbeat */
-#define READ_LIVE_MS 3000        /* the log is readable after a read */
+#define PEER_LIVE_MS 1500        /* max. age of a live peer's heartbeat */
+#define READ_LIVE_MS 3000        /* max. age of a read of a reachable log */
 #define ENTRIES_RETRY_MS 300
 #define SNAPSHOT_RETRY_MS 1000
 #define RESCAN_DELAY_MS 1000
--- a/src/feed.h
+++ b/src/feed.h
@@ -28,9 +28,9 @@
     uint32_t relay_wait_ms;      /* the log is read directly after this time
                                     without a peer to follow, or behind a live
                                     peer */
-    uint32_t
-        checkpoint_entries; /* a checkpoint is due after so many entries */
-    uint32_t checkpoint_ms; /* ... or after this time */
+    /* A checkpoint is due after so many entries, or after this time. */
+    uint32_t checkpoint_entries;
+    uint32_t checkpoint_ms;
     uint64_t seed;
 } FeedParams;
 
--- a/src/fold_internal.h
+++ b/src/fold_internal.h
@@ -1,4 +1,4 @@
-/* fold_int: internals of the fold, shared by fold.c (applies records) and
+/* fold_internal: internals of the fold, shared by fold.c (applies records) and
    snap.c (encodes and decodes the state). */
 #ifndef FOLD_INTERNAL_H
 #define FOLD_INTERNAL_H
--- a/src/load_generator.c
+++ b/src/load_generator.c
@@ -28,7 +28,7 @@
 struct LoadRun {
     LdParams params;
     GPtrArray *models;         /* names */
-    double *cumulative_shares; /* cumulative, last one 1 */
+    double *cumulative_shares; /* of each model; the last is 1 */
     char **targets;            /* IP:PORT */
     uint32_t target_count;
     Ring *arrivals; /* open loop */
--- a/src/log_client.c
+++ b/src/log_client.c
@@ -219,7 +219,8 @@
     pthread_cond_t requested;     /* from was set */
     uint64_t from;                /* offset to read; 0: no read requested */
     uint64_t served;              /* reader only: last offset read */
-    atomic_uint_fast64_t fail_ms; /* last failed append; 0: one succeeded */
+    atomic_uint_fast64_t fail_ms; /* last failed append; 0: none since the
+                                     last success */
     atomic_uint_fast64_t stop_ms; /* after lc_stop: when to give up */
     BgRandom rng;                 /* appender only: jitter */
 };
--- a/src/main_placer.c
+++ b/src/main_placer.c
@@ -140,7 +140,7 @@
     j->res.body = g_string_new(NULL);
 }
 
-/* Whether the upstream at J's address still runs the boot that J is for.  The
+/* Whether the process at J's address is still the boot that J is for.  The
    order is then sent over the same connection, which ends with that process:
    so it reaches this boot or none.  Otherwise an order of a paused owner could
    reach a restarted upstream, which has lost its fencing number. */
--- a/src/node.c
+++ b/src/node.c
@@ -22,7 +22,8 @@
 #define APPEND_GIVE_UP_MS 60000
 #define STOP_APPEND_MS 3000
 #define EXIT_BAD_SETTINGS 2
-#define STATUS_INTEREST_MS 10000 /* peers are queried after a request */
+/* Peers are queried for so long after a request for the status. */
+#define STATUS_INTEREST_MS 10000
 #define STATUS_FETCH_MS 300
 
 static const IniRule common_rules[] = {
--- a/src/placer_internal.h
+++ b/src/placer_internal.h
@@ -1,4 +1,5 @@
-/* pl_int: internals of the placement core, for the placer_*.c files only.
+/* placer_internal: internals of the placement core, for the placer_*.c files
+   only.
 
    placer.c            creation, events, and the published state
    placer_loads.c      look-ups of upstreams, loads and models; records for the
@@ -34,9 +35,10 @@
 #define BACKOFF_MAX_MS 15000
 #define NO_ROOM_RETRY_AFTER_MS 2000
 #define LOG_UNREACHABLE_RETRY_AFTER_MS 5000
-#define PRIORITY_SLACK_MS                                                     \
-    2000                    /* deadline slack that a priority step is worth */
-#define MB_PER_SLACK_MS 100 /* model size that counts as 1 ms of slack */
+/* Deadline slack that a priority step is worth, and the model size that counts
+   as 1 ms of slack. */
+#define PRIORITY_SLACK_MS 2000
+#define MB_PER_SLACK_MS 100
 #define DRAIN_LOG_WAIT_MS 5000
 /* An unrecorded replica is unloaded once the log has rejected its intent this
    many times. */
--- a/src/router.c
+++ b/src/router.c
@@ -234,8 +234,7 @@
     }
 }
 
-/* ---- queueing ------------------------------------------------------------
- */
+/* ---- queueing ----------------------------------------------------------- */
 
 static void
 mark_active(RtCore *c, Target *t)
@@ -298,8 +297,7 @@
     g_hash_table_remove(c->requests, &q->r.id);
 }
 
-/* ---- final decisions
- * -------------------------------------------------------- */
+/* ---- final decisions ---------------------------------------------------- */
 
 static void
 finish(RtCore *c, Request *q)
@@ -586,8 +584,8 @@
     if (result->outcome == RT_OUTCOME_OK) {
         return UP_OUTCOME_GOOD;
     }
-    /* A pooled connection may be dead while the upstream is healthy: only a
-       failure on a new connection counts. */
+    /* A reused connection without an answer, or one that became silent, may be
+       dead while the upstream is healthy: such a failure does not count. */
     return failed && !result->silent_connection && !result->late
                ? UP_OUTCOME_FAILED
                : UP_OUTCOME_NEUTRAL;
--- a/src/router.h
+++ b/src/router.h
@@ -43,7 +43,8 @@
     const char *workspace;
     CfgClass class_;
     uint32_t priority;    /* below FQ_PRIORITIES */
-    uint32_t cost;        /* weight in fair queueing, at least 1 */
+    uint32_t cost;        /* weight in fair queueing, at least 1; of a model
+                             call also the tokens reserved from its limit */
     uint64_t deadline_ms; /* monotonic */
     uint32_t load_ms;     /* expected time of a cold load of the model */
     uint64_t affinity;    /* hash of the prompt's prefix; 0: none */
