--- a/src/placer.h
+++ b/src/placer.h
@@ -152,7 +152,8 @@
 /* Owner, and neither draining nor without the log for longer than the lease.
    Heartbeats carry this; a placer that receives it does not claim. */
 bool pl_is_active(const PlCore *c);
-/* Draining is complete: no order is pending and all epochs are handed over. */
+/* Draining is complete: no order is pending and all epochs are handed over, or
+   can't be as the log has been unreachable for too long. */
 bool pl_is_drained(const PlCore *c);
 /* Check the invariants of this core and its fold; append a line for each
    violation to FAULTS.  Returns their number. */
