--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -1,6 +1,7 @@
 """Stand-in for the platform's append-only log service.
 
-POST /v1/append, GET /v1/records; see src/log_client.h.  PUT /test/faults sets any of:
+POST /v1/append, GET /v1/records; see src/log_client.h.  PUT /test/faults sets
+any of:
 
     down                refuse all requests under /v1/
     reads_down          refuse reads only
--- a/tests/fake_platform.py
+++ b/tests/fake_platform.py
@@ -43,7 +43,8 @@
 
 
 class Store(App):
-    """The platform's store: topics, each a log of keyed records.
+    """The platform's store: topics of one partition, each a log of keyed
+    records.
 
     put() and put_config() write as the platform does.
     """
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -92,8 +92,9 @@
 
 
 def test_rate_holds_over_two_routers(start_cluster):
-    """Callers overload both routers.  Together the routers admit no more than
-    the limit plus the two seconds' worth that a bucket can hold."""
+    """Callers overload both routers.  Each alone would admit the whole limit.
+    Together they admit no more than the limit plus the two seconds' worth that
+    a bucket can hold."""
     c = start_cluster(2, requests_per_second=20)
     answered = overload(c, c.routers(), 5)
     assert 80 <= answered <= 20 * 5 + 20 * 2 + 10
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -129,9 +129,10 @@
 
 def test_owner_without_peers_is_succeeded_once(build):
     """The owner reads the log but is not linked to its peers.  The other
-    placer claims; the former owner reads that claim and steps down.  As it
-    gets no heartbeats of its successor, it would take the data centre back at
-    every lease, and every upstream would be fenced again each time."""
+    placer claims; the former owner reads that claim and steps down.  It gets
+    no heartbeats of its successor either.  If it claimed the data centre for
+    that reason, it would do so at every lease, and every upstream would be
+    fenced again each time."""
     c = make_cluster(build)
     first = c.placers("dc1")[0]
     c.add_proxy(first + "-peer")
