--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -93,8 +93,8 @@
 
 def test_burst_at_every_router_makes_one_load(build):
     """200 callers request a model that is not loaded through all routers of a
-    data centre at once.  If each router decided alone, each would load it.  The
-    owner merges the demand of the routers into one decision, so the
+    data centre at once.  If each router decided alone, each would load it.
+    The owner merges the demand of the routers into one decision, so the
     board-summary model, which is limited to one replica, is loaded once and
     every caller gets a complete answer."""
     with Cluster(build, centres=("dc1",), vms_per_centre=3) as c:
