--- a/src/http_internal.h
+++ b/src/http_internal.h
@@ -1,5 +1,6 @@
-/* ht_int: internal to ht: collects the head of a message from the parser's
-   callbacks, for the server and the pool. */
+/* http_internal: internals of HTTP, for the http*.c files only: collects the
+   head of a message from the parser's callbacks, for the server and the
+   pool. */
 #ifndef HTTP_INTERNAL_H
 #define HTTP_INTERNAL_H
 
--- a/src/model_placement_internal.h
+++ b/src/model_placement_internal.h
@@ -1,4 +1,5 @@
-/* mp_int: declarations shared by the files of mp.
+/* model_placement_internal: internals of placement, for the model_placement*.c
+   files only.
 
      model_placement.c          state of upstreams: content, reports and
                                 results of orders
