--- a/src/gateway_node.h
+++ b/src/gateway_node.h
@@ -158,7 +158,7 @@
 void gn_schedule_store_reads(Gateway *g, uint64_t now_ms);
 /* The leader reported that VERSION is its configuration. */
 void gn_on_config_version(Gateway *g, uint64_t now_ms, uint64_t version);
-/* Since the configuration in force was last known to be the newest. */
+/* Time since the configuration in force was last known to be the newest. */
 uint64_t gn_get_config_age_ms(const Gateway *g, uint64_t now_ms);
 
 /* gateway_node_lease */
@@ -175,8 +175,8 @@
 void gn_on_place_timer(struct ev_loop *loop, ev_timer *t, int events);
 void gn_on_placed(void *ctx, const char *upstream, const GPtrArray *models);
 void gn_on_unreachable(void *ctx, const char *upstream);
-void gn_on_evaluated(void *ctx, const char *model, double good, double slow,
-                     double load, uint32_t replicas);
+void gn_on_evaluated(void *ctx, const char *model, double capacity,
+                     double slow, double load, uint32_t replicas);
 void gn_send_order(void *ctx, const MpOrder *order);
 void gn_request_report(void *ctx, const DepUpstream *of);
 /* Run placement within a few ms; calls until then share one run. */
--- a/src/gateway_node_orders.c
+++ b/src/gateway_node_orders.c
@@ -168,13 +168,13 @@
 }
 
 void
-gn_on_evaluated(void *ctx, const char *model, double good, double slow,
+gn_on_evaluated(void *ctx, const char *model, double capacity, double slow,
                 double load, uint32_t replicas)
 {
     (void)ctx;
     JlLine *l = jl_begin("replicas-judged");
     jl_text(l, "model", model);
-    jl_number(l, "good_requests", (int64_t)good);
+    jl_number(l, "good_requests", (int64_t)capacity);
     jl_number(l, "slow_percent", (int64_t)(slow * 100));
     jl_number(l, "load", (int64_t)load);
     jl_number(l, "replicas", replicas);
