--- a/src/gateway_request.c
+++ b/src/gateway_request.c
@@ -166,11 +166,12 @@
     GQueue early;        /* HtExchange: before the first configuration */
     GQueue reqs;         /* Req */
     GHashTable *arrived; /* model or "model/adapter" -> count */
-    GHashTable *arrived_urgent; /* of these: late after a load from disk */
-    GHashTable *refused_busy;   /* model -> count: the queue was too long */
-    GHashTable *begun_answers;  /* upstream -> count */
-    GHashTable *wait_estimates; /* model -> WaitEstimate */
-    GHashTable *breaks;         /* digest -> Breaks */
+    GHashTable
+        *arrived_tight_deadline; /* of these: late after a load from disk */
+    GHashTable *refused_busy;    /* model -> count: the queue was too long */
+    GHashTable *begun_answers;   /* upstream -> count */
+    GHashTable *wait_estimates;  /* model -> WaitEstimate */
+    GHashTable *breaks;          /* digest -> Breaks */
     Hist *answer_us; /* from a request's arrival to the end of its answer */
     Hist *first_byte_us;     /* ... to its first byte */
     uint64_t leader_ms;      /* last contact with the leader */
@@ -1037,7 +1038,7 @@
 }
 
 static void
-set_final_time(Req *q)
+set_deadlines(Req *q)
 {
     uint32_t left_ms = q->route->timeout_ms;
     if (q->call.deadline_ms) {
@@ -1090,7 +1091,7 @@
     const DepModel *m =
         s ? g_hash_table_lookup(s->models, q->query.model) : NULL;
     if (m && q->route->objective_ms < (m->disk_ms ? m->disk_ms : m->load_ms)) {
-        add_count(q->gw->arrived_urgent, key);
+        add_count(q->gw->arrived_tight_deadline, key);
     }
 }
 
@@ -1113,7 +1114,7 @@
     g->wire->read_call(ht_get_head(x), &q->call);
     q->last_event = q->call.resume_after;
     q->service = dep_pick_service(route, bg_next_random(&g->rng));
-    set_final_time(q);
+    set_deadlines(q);
     fill_query(q);
     g_queue_push_tail(&g->reqs, q);
     q->link = g->reqs.tail;
@@ -1590,7 +1591,7 @@
         }
     }
     collect_counts(&c, g->arrived, offsetof(DmModelDemand, arrived));
-    collect_counts(&c, g->arrived_urgent,
+    collect_counts(&c, g->arrived_tight_deadline,
                    offsetof(DmModelDemand, tight_deadline));
     collect_counts(&c, g->refused_busy, offsetof(DmModelDemand, refused));
     GHashTableIter it;
@@ -1664,7 +1665,7 @@
     g_queue_init(&g->early);
     g_queue_init(&g->reqs);
     g->arrived = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g->arrived_urgent =
+    g->arrived_tight_deadline =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     g->refused_busy =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -1690,7 +1691,7 @@
     g_queue_clear(&g->early);
     dep_unref_config(g->config);
     g_hash_table_destroy(g->arrived);
-    g_hash_table_destroy(g->arrived_urgent);
+    g_hash_table_destroy(g->arrived_tight_deadline);
     g_hash_table_destroy(g->refused_busy);
     g_hash_table_destroy(g->begun_answers);
     g_hash_table_destroy(g->wait_estimates);
