--- a/src/gateway_node_demand.c
+++ b/src/gateway_node_demand.c
@@ -115,12 +115,12 @@
    the leader reads. */
 
 static void
-on_mail_records(void *ctx, const GPtrArray *records, StBatchKind part,
+on_mail_records(void *ctx, const GPtrArray *records, StBatchKind kind,
                 GHashTable *listed)
 {
     (void)listed;
     Gateway *g = ctx;
-    for (guint i = 0; part == ST_UPDATES && i < records->len; i++) {
+    for (guint i = 0; kind == ST_UPDATES && i < records->len; i++) {
         const StRecord *r = records->pdata[i];
         gsize len = 0;
         const uint8_t *data =
--- a/src/gateway_node_store.c
+++ b/src/gateway_node_store.c
@@ -87,10 +87,10 @@
 /* Takes the highest of several versions.  The version in force never goes
    back. */
 static void
-on_config_records(void *ctx, const GPtrArray *records, StBatchKind part,
+on_config_records(void *ctx, const GPtrArray *records, StBatchKind kind,
                   GHashTable *listed)
 {
-    (void)part;
+    (void)kind;
     (void)listed;
     Gateway *g = ctx;
     DepConfig *best = NULL;
@@ -238,7 +238,7 @@
 }
 
 static void
-on_upstream_records(void *ctx, const GPtrArray *records, StBatchKind part,
+on_upstream_records(void *ctx, const GPtrArray *records, StBatchKind kind,
                     GHashTable *listed)
 {
     Gateway *g = ctx;
@@ -257,7 +257,7 @@
             take_gone(g, now_ms, r, &changes);
         }
     }
-    if (part == ST_LAST_PAGE) {
+    if (kind == ST_LAST_PAGE) {
         drop_missing(g, listed, missing, &changes);
         gn_publish_all_upstreams(g);
     }
--- a/src/store.h
+++ b/src/store.h
@@ -93,7 +93,7 @@
     void *ctx;
     /* LISTED: with ST_LAST_PAGE the set of the keys of all pages, else
        NULL. */
-    void (*on_records)(void *ctx, const GPtrArray *records, StBatchKind part,
+    void (*on_records)(void *ctx, const GPtrArray *records, StBatchKind kind,
                        GHashTable *listed);
     /* The store answers again (REACHABLE), or stopped answering. */
     void (*on_reachable)(void *ctx, bool reachable);
@@ -109,7 +109,7 @@
 void st_set_pause(StWatch *w, uint32_t pause_ms);
 /* Default of the longest pause after failed calls. */
 #define ST_MAX_BACKOFF_MS 700
-void st_set_max_backoff(StWatch *w, uint32_t max_ms);
+void st_set_max_backoff(StWatch *w, uint32_t max_backoff_ms);
 void st_set_wait(StWatch *w, uint32_t wait_ms);
 /* Drops the pending call, which may never be answered, and calls again.  A
    call younger than MIN_AGE_MS may just be slow: then nothing is done. */
