--- a/src/gateway_types.c
+++ b/src/gateway_types.c
@@ -220,13 +220,13 @@
 }
 
 const char *
-dep_pick_service(const DepRoute *r, uint64_t hash)
+dep_pick_service(const DepRoute *r, uint64_t draw)
 {
     uint64_t total = 0;
     for (guint i = 0; i < r->splits->len; i++) {
         total += g_array_index(r->splits, DepSplit, i).weight;
     }
-    uint64_t at = total ? hash % total : 0;
+    uint64_t at = total ? draw % total : 0;
     for (guint i = 0; i < r->splits->len; i++) {
         const DepSplit *s = &g_array_index(r->splits, DepSplit, i);
         if (at < s->weight) {
--- a/src/gateway_types.h
+++ b/src/gateway_types.h
@@ -129,8 +129,8 @@
    in HOST are ignored. */
 const DepRoute *dep_find_route(const DepConfig *c, const char *host,
                                const char *path);
-/* Picks one of R's services by weight; HASH: a random number. */
-const char *dep_pick_service(const DepRoute *r, uint64_t hash);
+/* Picks one of R's services by weight; DRAW: a random number. */
+const char *dep_pick_service(const DepRoute *r, uint64_t draw);
 
 /* ---- upstreams ---------------------------------------------------------- */
 
