--- a/src/cli_timeline.c
+++ b/src/cli_timeline.c
@@ -19,16 +19,16 @@
     COL_WAITS,
     COL_SENDS,
     COL_BROKEN,
-    COL_NOTRUN,
+    COL_NOT_RUN,
     COL_TAKEN,
     COL_CONFLICT,
     COL_UNSENT,
-    COL_NOANS,
+    COL_NO_ANSWER,
     COL_ASKED,
     COL_AWAY,
     COL_LINKED,
     COL_UNLINKED,
-    COL_LATELOOP,
+    COL_LATE_LOOP,
     COL_NOSTORE,
     COLUMNS
 } Column;
@@ -52,10 +52,10 @@
 
 static const EventColumn event_columns[] = {
     {"request-waits", COL_WAITS},   {"request-sent", COL_SENDS},
-    {"request-broken", COL_BROKEN}, {"request-not-run", COL_NOTRUN},
+    {"request-broken", COL_BROKEN}, {"request-not-run", COL_NOT_RUN},
     {"upstream-report", COL_ASKED}, {"upstream-away", COL_AWAY},
     {"placer-linked", COL_LINKED},  {"placer-lost", COL_UNLINKED},
-    {"loop-late", COL_LATELOOP},    {"store-lost", COL_NOSTORE}};
+    {"loop-late", COL_LATE_LOOP},   {"store-lost", COL_NOSTORE}};
 
 static Column
 classify_request(const json_t *f)
@@ -80,7 +80,7 @@
     case 0:
         return json_integer_value(json_object_get(f, "end")) == END_NOT_SENT
                    ? COL_UNSENT
-                   : COL_NOANS;
+                   : COL_NO_ANSWER;
     default:
         return COL_CONFLICT;
     }
