--- a/src/desk.c
+++ b/src/desk.c
@@ -246,23 +246,23 @@
     if (!lim_admit(d->lim, now_ms, r->workspace, tokens, retry_after_ms)) {
         return false;
     }
-    Reservation *h = g_new0(Reservation, 1);
-    h->id = r->id;
-    h->workspace = g_strdup(r->workspace);
-    h->tokens = tokens;
-    h->start_ms = now_ms;
-    g_hash_table_replace(d->reservations, &h->id, h);
+    Reservation *held = g_new0(Reservation, 1);
+    held->id = r->id;
+    held->workspace = g_strdup(r->workspace);
+    held->tokens = tokens;
+    held->start_ms = now_ms;
+    g_hash_table_replace(d->reservations, &held->id, held);
     return true;
 }
 
 static void
 release_limits(Desk *d, uint64_t id, uint32_t used)
 {
-    const Reservation *h = g_hash_table_lookup(d->reservations, &id);
-    if (h) {
+    const Reservation *held = g_hash_table_lookup(d->reservations, &id);
+    if (held) {
         uint64_t now_ms = bg_now_ms();
-        lim_release(d->lim, now_ms, h->workspace, h->tokens, used,
-                    now_ms - h->start_ms);
+        lim_release(d->lim, now_ms, held->workspace, held->tokens, used,
+                    now_ms - held->start_ms);
         g_hash_table_remove(d->reservations, &id);
     }
 }
