--- a/src/bglade.pb-c.h
+++ b/src/bglade.pb-c.h
@@ -99,7 +99,7 @@
 /*
  * A placer claims the upstreams of its data centre.  Takes effect only if
  * base_epoch is current.  Its offset is the new epoch, which is the fencing
- * number of every order sent under the claim.
+ * token of every order sent under the claim.
  */
 struct  Bg__ClaimRecord
 {
@@ -108,7 +108,7 @@
   char *holder;
   uint64_t base_epoch;
   /*
-   * The standing grant: upstreams that check fencing numbers.  While the log
+   * The standing grant: upstreams that check fencing tokens.  While the log
    * is unreachable, the owner may load each model on one of them, chosen by
    * hash.
    */
--- a/src/fold.h
+++ b/src/fold.h
@@ -95,7 +95,7 @@
 /* ---- placement ---------------------------------------------------------- */
 typedef struct {
     char *holder;
-    uint64_t epoch; /* offset of the claim; also the fencing number */
+    uint64_t epoch; /* offset of the claim; also the fencing token */
 } FoldClaim;
 
 /* A load that was recorded and not settled as absent.  Its memory and its
@@ -106,7 +106,7 @@
     char *load_id;
     uint32_t memory_mb;
     uint64_t epoch; /* of the owner that recorded it */
-    bool fenced;    /* the upstream refuses old fencing numbers */
+    bool fenced;    /* the upstream refuses old fencing tokens */
     bool adapter;
     bool loaded;  /* the upstream reported it as loaded */
     char *boot;   /* upstream's process instance that its orders are for */
--- a/src/main_placer.c
+++ b/src/main_placer.c
@@ -143,7 +143,7 @@
 /* Whether the process at J's address is still the boot that J is for.  The
    order is then sent over the same connection, which ends with that process:
    so it reaches this boot or none.  Otherwise an order of a paused owner could
-   reach a restarted upstream, which has lost its fencing number. */
+   reach a restarted upstream, which has lost its fencing token. */
 static bool
 check_boot(HcClient *http, const Job *j)
 {
--- a/src/node.c
+++ b/src/node.c
@@ -881,7 +881,7 @@
 
 /* The restored state may hold a newer claim than that of an owner that was
    paused.  The owner's next order would carry the restored offset, which is
-   above its successor's fencing number.  So the role checks its claim here,
+   above its successor's fencing token.  So the role checks its claim here,
    before any other event. */
 static void
 take_restored(void *ctx)
--- a/src/placer.h
+++ b/src/placer.h
@@ -9,7 +9,7 @@
    ordered while the log is unreachable (placer_ownership.c).
 
    Terms: an epoch is the term of one claim.  A fencing upstream refuses
-   orders whose fencing number is below the highest that it has seen.  A boot
+   orders whose fencing token is below the highest that it has seen.  A boot
    is one run of an upstream's process, from start to exit.
 
    A state machine without threads, I/O or clock: events come in as calls
@@ -56,14 +56,14 @@
     const char *load_id;
     uint32_t memory_mb;
     uint32_t load_ms;
-    uint64_t fence;   /* fencing number */
+    uint64_t fence;   /* fencing token */
     uint64_t epoch;   /* not to be sent once the owner's epoch has changed */
     const char *boot; /* LOAD and UNLOAD: to this boot of the upstream only */
 } PlOrder;
 
 typedef enum {
     PL_ACKED,    /* accepted; seq and, for POLL and FENCE, report are set */
-    PL_STALE,    /* refused: fencing number too low */
+    PL_STALE,    /* refused: fencing token too low */
     PL_BUSY,     /* refused for another reason, such as a model in use */
     PL_NOT_SENT, /* never reached the upstream, or it runs another boot */
     PL_UNKNOWN   /* no answer: the order may have been carried out, or may
--- a/src/placer_decisions.c
+++ b/src/placer_decisions.c
@@ -654,7 +654,7 @@
     }
     else if (l->phase == LOAD_LINGERING && u->fenced && l->unknown > 0 &&
              pl_get_fence(c) <= l->order_fence && c->log_reachable) {
-        /* Any record advances the log's offset, and so the fencing number. */
+        /* Any record advances the log's offset, and so the fencing token. */
         l->next_try_ms = now_ms + RECORD_RETRY_MS;
         pl_append_intent(c, l, get_ceiling(m), m && m->base);
     }
--- a/src/placer_internal.h
+++ b/src/placer_internal.h
@@ -68,7 +68,7 @@
     uint64_t phase_ms;    /* when the phase began */
     uint64_t next_try_ms; /* next attempt at its order or record */
     bool order_out;       /* an order is with a worker */
-    uint64_t order_fence; /* highest fencing number of its load orders */
+    uint64_t order_fence; /* highest fencing token of its load orders */
     uint64_t ack_seq;     /* reports above it reflect the last acknowledged
                              order */
     uint32_t acked;       /* load orders known to have been accepted */
@@ -122,7 +122,7 @@
     GHashTable *tiers;     /* model -> int: 1 disk, 2 memory */
     GHashTable *loads;     /* model -> Load */
     bool engine;           /* accepts orders; other services are only polled */
-    bool fenced;           /* checks fencing numbers */
+    bool fenced;           /* checks fencing tokens */
     bool leaving;
     bool gone;  /* not on the VM list */
     bool dirty; /* its state changed and is not yet published to routers */
--- a/src/placer_order.c
+++ b/src/placer_order.c
@@ -4,7 +4,7 @@
 
 /* ---- orders ------------------------------------------------------------- */
 
-/* The fencing number of an order is the newest log offset that this owner has
+/* The fencing token of an order is the newest log offset that this owner has
    applied.  A successor's claim has a higher offset than any that this owner
    saw while its claim was in force, and later orders of this owner have higher
    numbers than its earlier ones.  So a delayed order is refused. */
@@ -74,7 +74,7 @@
 }
 
 /* Send the fence that precedes the first order of an epoch.  An upstream that
-   checks fencing numbers accepts no older order from then on.  With either
+   checks fencing tokens accepts no older order from then on.  With either
    kind of upstream, the answer carries a report made after the fence was sent,
    while other reports lag. */
 void
@@ -82,7 +82,7 @@
 {
     bool needed = !pl_is_settled(c, u) || u->needs_fresh_report;
     /* Without the log this owner cannot know whether it was succeeded, and a
-       restarted upstream has lost the fencing number of a successor. */
+       restarted upstream has lost the fencing token of a successor. */
     if (!needed || !u->engine || !c->log_reachable || u->gone || !u->address ||
         u->fence_out || c->draining || now_ms < u->next_fence_ms) {
         return;
@@ -323,7 +323,7 @@
 }
 
 /* Check the boot of a report.  A restarted upstream has lost its replicas, its
-   report sequence and its fencing number, and must be fenced again before the
+   report sequence and its fencing token, and must be fenced again before the
    next order.  Answers may overtake each other: false if this one is of an
    earlier boot, and so to be ignored. */
 static bool
--- a/src/placer_ownership.c
+++ b/src/placer_ownership.c
@@ -22,7 +22,7 @@
 /* Claim the data centre if it has no claim, or if the holder has handed over
    or has not been heard from within the lease.  Several placers may claim at
    once: the log decides.  A holder that was only paused can do no harm, since
-   its orders carry lower fencing numbers and its intents are recorded. */
+   its orders carry lower fencing tokens and its intents are recorded. */
 void
 pl_consider_claim(PlCore *c, uint64_t now_ms)
 {
