--- a/src/http.h
+++ b/src/http.h
@@ -37,8 +37,8 @@
 typedef struct {
     uint32_t header_bytes;
     uint32_t body_bytes;
-    uint32_t header_ms; /* a request that takes more than twice this to be
-                           read is cut off */
+    uint32_t header_ms; /* a request not read whole, with its body, within
+                           twice this from its first byte is cut off */
     uint32_t idle_ms;   /* of a keep-alive connection */
 } HtLimits;
 
