--- a/tests/bench_load.py
+++ b/tests/bench_load.py
@@ -56,19 +56,22 @@
             r = [o[key][q] / 1000 for o in rows["router"]]
             added = [y - x for x, y in zip(d, r)]
             print("  %-10s %s ms: direct %s, router %s, added %s" % (
-                key[:-3], q, format_median(d), format_median(r), format_median(added)))
+                key[:-3], q, format_median(d), format_median(r),
+                format_median(added)))
     rates = {k: [o["answered"] / o["elapsed_s"] for o in v]
              for k, v in rows.items()}
     print("  requests/s: direct %s, router %s, ratio %s" % (
         format_median(rates["direct"]), format_median(rates["router"]),
-        format_median([r / d for d, r in zip(rates["direct"], rates["router"])])))
+        format_median([r / d for d, r in zip(rates["direct"],
+                                             rates["router"])])))
     cpu = [o["router_cpu_s"] / o["answered"] * 1e6 for o in rows["router"]]
     print("  router CPU per request: %s us, so %s requests/s per core" % (
         format_median(cpu), format_median([1e6 / x for x in cpu])))
     tokens = [o for o in rows["router"] if o["tokens"]]
     if tokens:
-        print("  router CPU per token, requests included: %s us" % format_median(
-            [o["router_cpu_s"] / o["tokens"] * 1e6 for o in tokens]))
+        print("  router CPU per token, requests included: %s us" %
+              format_median([o["router_cpu_s"] / o["tokens"] * 1e6
+                             for o in tokens]))
 
 
 def measure_streams(c, count):
